--- a/crates/engine/src/list_evidence.rs
+++ b/crates/engine/src/list_evidence.rs
@@ -1,20 +1,21 @@
-//! Which of the list service's answers are believed.
+//! Decides which responses of the list service are accepted as the worker list.
 //!
-//! An answer holds the whole worker list under the number of its last event. Numbers count from the start of this
-//! process, and no answer says for which process it was made: an old answer, of this process or of the one before it,
-//! may come in place of a current one, under any number. So a single answer that says something else than what is held
-//! proves nothing. It opens a doubt, which ends when enough answers to later questions agree.
+//! A response contains the whole worker list and the number of its last event. Numbers count from the start
+//! of this process, and a response doesn't identify the process that it was made for: a stale response, of
+//! this process or of the one before it, may arrive instead of a current one, with any number. So a single
+//! response that differs from the accepted list proves nothing. It begins a discrepancy, which ends when
+//! enough responses to later polls agree.
 //!
 //! Invariants:
-//! - a list comes into force only after [`AGREEING`] answers, to as many questions, agree that it was current;
-//! - one that cannot follow the list in force, which answers have confirmed, needs answers that support it for longer than
-//!   a list service may be behind: one that is merely behind has caught up by then;
-//! - while there is a doubt, a worker is undisputed only if every answer since it began, and the list in force, hold
-//!   the same entry of it, in service;
-//! - the list in force is as old as the first of the last [`AGREEING`] answers in a row that support it, so that an old
-//!   answer that happens to hold the same list makes it no younger than it is.
+//! - a list is accepted only after [`AGREEING`] responses, to as many polls, agree that it was current;
+//! - a list that cannot follow the accepted one, once that is confirmed, needs responses that support it for
+//!   longer than a list service may lag behind: a service that merely lags has caught up by then;
+//! - during a discrepancy a worker is undisputed only if the accepted list and every response since the
+//!   beginning contain the same entry of it, in service;
+//! - the accepted list is as old as the first of the last [`AGREEING`] consecutive responses that support it,
+//!   so that a stale response with the same list by chance doesn't make it look newer than it is.
 //!
-//! It has no clock and no socket, and trusts the times that it is given.
+//! It has no clock and no socket, and trusts the times passed by the caller.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -22,41 +23,41 @@
 use cresswheel::{Micros, WorkerId};
 use cresswheel_protocol::{Listed, Standing};
 
-/// So many answers in a row that say the same end a doubt: one more than old answers come in a row.
+/// This many consecutive equal responses end a discrepancy: one more than stale responses arrive in a row.
 pub const AGREEING: usize = 3;
-/// The list may change faster than it can be confirmed. After so many answers in a row that can all be of one process,
-/// the one that [`AGREEING`] of them support is taken.
-const SUCCESSIVE: usize = 2 * AGREEING;
-/// Lists that were in force before are recognized again; so many of them.
-const SUPERSEDED: usize = 64;
+/// The list may change faster than it can be confirmed. After this many consecutive responses that may all be
+/// of one process, the latest list that [`AGREEING`] of them support is accepted.
+const MAX_PENDING_RESPONSES: usize = 2 * AGREEING;
+/// How many formerly accepted lists are remembered, to recognize stale responses.
+const MAX_SUPERSEDED: usize = 64;
 
-/// A worker list as of an event.
+/// A worker list as of one event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListVersion {
-    /// The last event's number.
+    /// The number of the last event.
     pub number: u64,
-    /// The workers by id; who is not named is gone.
+    /// The workers sorted by id; a worker that is not listed is gone.
     workers: Vec<Listed>,
 }
 
 impl ListVersion {
-    /// A list under its number, in any order.
+    /// A list with its event number; the workers may be in any order.
     pub fn new(number: u64, mut workers: Vec<Listed>) -> Self {
         workers.sort_by(|one, other| one.id.cmp(&other.id));
         Self { number, workers }
     }
 
-    /// The workers by id.
+    /// The workers, sorted by id.
     pub fn workers(&self) -> &[Listed] {
         &self.workers
     }
 
-    /// Whether this can be what a service tells after `earlier`: a later number, or the same list.
+    /// Whether a service can respond with this after `earlier`: a later number, or the same list.
     fn can_follow(&self, earlier: &Self) -> bool {
         self.number > earlier.number || self == earlier
     }
 
-    fn holds(&self, worker: &Listed) -> bool {
+    fn contains(&self, worker: &Listed) -> bool {
         let found = self.workers.binary_search_by(|entry| entry.id.cmp(&worker.id));
         found.is_ok_and(|at| self.workers[at] == *worker)
     }
@@ -69,218 +70,229 @@
     }
 }
 
-/// What an answer came to.
+/// The result of evaluating a response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Weighed {
-    /// The list in force tells all that had happened by the time of that question; `None`: nothing supports it yet.
+    /// The accepted list contains all events up to the time of this poll; `None` if this response confirmed
+    /// nothing.
     pub as_of: Option<Exchange>,
-    /// Another list has come into force.
+    /// Another list was accepted.
     pub is_new: bool,
 }
 
-/// A question and its answer.
+/// The times of a poll and its response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Exchange {
-    /// When it was asked.
+    /// When the poll was sent.
     pub asked: Micros,
-    /// When its answer came.
+    /// When the response arrived.
     pub heard: Micros,
 }
 
-/// Contradictions between answers since the start.
+/// Counts of contradictions between responses since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Contradictions {
-    /// Doubts that are over and in which answers contradicted each other.
+    /// Ended discrepancies in which responses contradicted each other.
     pub settled: u64,
-    /// Of those, how many ended with a list that cannot follow the one in force: that one was believed wrongly.
+    /// How many of those ended with a list that cannot follow the accepted one, which had been accepted
+    /// wrongly.
     pub overturned: u64,
-    /// How long they lasted together.
+    /// Their total duration.
     pub lasted: Micros,
-    /// The longest of them.
+    /// The duration of the longest one.
     pub longest: Micros,
 }
 
+/// A response that may be accepted later.
 #[derive(Debug)]
-struct Answered {
+struct ReceivedList {
     exchange: Exchange,
     list: ListVersion,
 }
 
+/// A period in which responses differ from the accepted list.
 #[derive(Debug)]
-struct Doubt {
+struct Discrepancy {
     since: Micros,
     is_contradiction: bool,
-    /// Workers in service by the list in force, of which some answer said something else.
+    /// Workers in service on the accepted list that some response lacks or lists differently.
     disputed: BTreeSet<WorkerId>,
 }
 
-/// The list in force, and the answers that don't agree with it.
+/// The accepted list, and the recent responses.
 #[derive(Debug)]
 pub struct ListEvidence {
-    held: ListVersion,
-    /// An answer has supported the list in force.
+    accepted: ListVersion,
+    /// Responses have confirmed the accepted list.
     is_confirmed: bool,
-    /// An event is in the answers so long after it happened at the latest.
-    told_within: Micros,
-    /// Digests of lists that were in force before, the latest last.
+    /// Responses contain an event at most this long after it happened.
+    notified_within: Micros,
+    /// Digests of formerly accepted lists, the latest last.
     superseded: VecDeque<u64>,
-    /// The latest question that was answered.
-    last_asked: Option<Micros>,
-    doubt: Option<Doubt>,
-    /// The latest answers, each of which can follow the one before.
-    recent: VecDeque<Answered>,
-    /// When the first of the answers in a row was asked of which each can follow the one before.
-    in_a_row_since: Micros,
+    /// When the latest answered poll was sent.
+    last_polled_at: Option<Micros>,
+    discrepancy: Option<Discrepancy>,
+    /// The latest responses, each of which can follow the one before.
+    recent: VecDeque<ReceivedList>,
+    /// When the first poll was sent of the consecutive responses that can each follow the one before.
+    consistent_since: Micros,
     contradictions: Contradictions,
 }
 
 impl ListEvidence {
-    /// Begins with a list that is taken for true, as the configuration's is. An event is in the answers `told_within`
-    /// after it happened at the latest.
-    pub fn new(held: ListVersion, told_within: Micros) -> Self {
+    /// Starts with an accepted list, such as that of the configuration. Responses contain an event at most
+    /// `notified_within` after it happened.
+    pub fn new(accepted: ListVersion, notified_within: Micros) -> Self {
         Self {
-            held,
+            accepted,
             is_confirmed: false,
-            told_within,
+            notified_within,
             superseded: VecDeque::new(),
-            last_asked: None,
-            doubt: None,
+            last_polled_at: None,
+            discrepancy: None,
             recent: VecDeque::new(),
-            in_a_row_since: 0,
+            consistent_since: 0,
             contradictions: Contradictions::default(),
         }
     }
 
-    /// The list in force.
+    /// The accepted list.
     pub fn held(&self) -> &ListVersion {
-        &self.held
+        &self.accepted
     }
 
-    /// Answers say different things, and it is not settled yet which are believed.
+    /// Whether responses differ and it is not settled yet which list is accepted.
     pub fn is_in_doubt(&self) -> bool {
-        self.doubt.is_some()
+        self.discrepancy.is_some()
     }
 
-    /// Since when answers have contradicted each other, if they do.
+    /// Since when responses have contradicted each other, if they do.
     pub fn contradicted_since(&self) -> Option<Micros> {
-        self.doubt.as_ref().filter(|doubt| doubt.is_contradiction).map(|doubt| doubt.since)
+        self.discrepancy
+            .as_ref()
+            .filter(|discrepancy| discrepancy.is_contradiction)
+            .map(|discrepancy| discrepancy.since)
     }
 
-    /// Workers in service by the list in force, but not, or otherwise, by an answer since the doubt began.
+    /// Workers in service on the accepted list that a response since the start of the discrepancy lacks or
+    /// lists differently.
     pub fn disputed(&self) -> BTreeSet<WorkerId> {
-        self.doubt.as_ref().map(|doubt| doubt.disputed.clone()).unwrap_or_default()
+        self.discrepancy.as_ref().map(|discrepancy| discrepancy.disputed.clone()).unwrap_or_default()
     }
 
-    /// What was counted of contradictions since the start.
+    /// Counts of contradictions since the start.
     pub fn contradictions(&self) -> Contradictions {
         self.contradictions
     }
 
-    /// Weighs an answer.
-    pub fn weigh(&mut self, exchange: Exchange, answer: ListVersion) -> Weighed {
+    /// Evaluates a response.
+    pub fn weigh(&mut self, exchange: Exchange, response: ListVersion) -> Weighed {
         let Exchange { asked, heard: now } = exchange;
-        if self.last_asked.is_some_and(|last| asked <= last) {
-            self.weigh_late(exchange, &answer);
+        if self.last_polled_at.is_some_and(|last| asked <= last) {
+            self.evaluate_late(exchange, &response);
             return Weighed::default();
         }
-        self.last_asked = Some(asked);
-        let follows = answer.can_follow(self.latest());
+        self.last_polled_at = Some(asked);
+        let follows = response.can_follow(self.latest());
         if !follows {
             self.recent.clear();
         }
         if self.recent.is_empty() {
-            self.in_a_row_since = asked;
+            self.consistent_since = asked;
         }
-        if self.is_in_doubt() || answer != self.held {
-            // A list that was in force before is most likely just old; another answer like it is needed for a dispute.
-            let is_stale = self.recent.is_empty() && self.was_in_force(&answer);
-            self.begin_doubt(now, !follows);
+        if self.is_in_doubt() || response != self.accepted {
+            // A formerly accepted list is most likely stale: one such response alone disputes no worker.
+            let is_stale = self.recent.is_empty() && self.was_accepted(&response);
+            self.begin_discrepancy(now, !follows);
             if !is_stale {
-                self.dispute(&answer);
+                self.mark_disputed(&response);
             }
         }
-        self.recent.push_back(Answered { exchange, list: answer });
-        self.settle(now)
+        self.recent.push_back(ReceivedList { exchange, list: response });
+        self.accept_if_supported(now)
     }
 
-    /// An answer to an earlier question than the latest that was answered, or a second answer to that. It confirms
-    /// nothing, but it may contradict.
-    fn weigh_late(&mut self, Exchange { asked, heard: now }: Exchange, answer: &ListVersion) {
+    /// Evaluates a response to a poll before the latest answered one, or a second response to that. It
+    /// confirms nothing, but may contradict.
+    fn evaluate_late(&mut self, Exchange { asked, heard: now }: Exchange, response: &ListVersion) {
         let latest = self.latest();
-        let is_earlier = self.last_asked.is_some_and(|last| asked < last);
-        if answer == latest || is_earlier && latest.can_follow(answer) {
+        let is_earlier = self.last_polled_at.is_some_and(|last| asked < last);
+        if response == latest || is_earlier && latest.can_follow(response) {
             return;
         }
         self.recent.clear();
-        self.begin_doubt(now, true);
-        if !self.was_in_force(answer) {
-            self.dispute(answer);
+        self.begin_discrepancy(now, true);
+        if !self.was_accepted(response) {
+            self.mark_disputed(response);
         }
     }
 
     fn latest(&self) -> &ListVersion {
-        self.recent.back().map_or(&self.held, |answered| &answered.list)
+        self.recent.back().map_or(&self.accepted, |received| &received.list)
     }
 
-    fn was_in_force(&self, answer: &ListVersion) -> bool {
-        answer.number < self.held.number && self.superseded.contains(&answer.digest())
+    fn was_accepted(&self, response: &ListVersion) -> bool {
+        response.number < self.accepted.number && self.superseded.contains(&response.digest())
     }
 
-    fn begin_doubt(&mut self, now: Micros, is_contradiction: bool) {
-        let begun = Doubt { since: now, is_contradiction: false, disputed: BTreeSet::new() };
-        self.doubt.get_or_insert(begun).is_contradiction |= is_contradiction;
+    fn begin_discrepancy(&mut self, now: Micros, is_contradiction: bool) {
+        let begun = Discrepancy { since: now, is_contradiction: false, disputed: BTreeSet::new() };
+        self.discrepancy.get_or_insert(begun).is_contradiction |= is_contradiction;
     }
 
-    fn dispute(&mut self, answer: &ListVersion) {
-        let in_service = self.held.workers.iter().filter(|worker| worker.standing == Standing::In);
-        let missing = in_service.filter(|worker| !answer.holds(worker));
+    fn mark_disputed(&mut self, response: &ListVersion) {
+        let in_service = self.accepted.workers.iter().filter(|worker| worker.standing == Standing::In);
+        let missing = in_service.filter(|worker| !response.contains(worker));
         let disputed = missing.map(|worker| WorkerId::from(worker.id.as_str()));
-        self.doubt.iter_mut().for_each(|doubt| doubt.disputed.extend(disputed.clone()));
+        self.discrepancy.iter_mut().for_each(|discrepancy| discrepancy.disputed.extend(disputed.clone()));
     }
 
-    /// Takes the latest list that enough answers support.
-    fn settle(&mut self, now: Micros) -> Weighed {
-        let newest = self.recent.back().map(|answered| &answered.list);
-        let agreeing = self.recent.iter().rev().take_while(|answered| Some(&answered.list) == newest).count();
-        if agreeing < AGREEING && self.recent.len() < SUCCESSIVE {
+    /// Accepts the latest list that enough responses support.
+    fn accept_if_supported(&mut self, now: Micros) -> Weighed {
+        let latest = self.recent.back().map(|received| &received.list);
+        let agreeing = self.recent.iter().rev().take_while(|received| Some(&received.list) == latest).count();
+        if agreeing < AGREEING && self.recent.len() < MAX_PENDING_RESPONSES {
             return Weighed::default();
         }
         let supported = self.recent.drain(..=self.recent.len() - AGREEING).next_back();
         match supported {
-            Some(supported) if self.may_come_into_force(&supported) => self.come_into_force(now, supported),
+            Some(supported) if self.may_accept(&supported) => self.accept(now, supported),
             _ => Weighed::default(),
         }
     }
 
-    fn may_come_into_force(&self, Answered { exchange, list }: &Answered) -> bool {
-        let is_long = exchange.asked.saturating_sub(self.in_a_row_since) > self.told_within;
-        !self.is_confirmed || is_long || list.can_follow(&self.held)
+    fn may_accept(&self, ReceivedList { exchange, list }: &ReceivedList) -> bool {
+        let is_long = exchange.asked.saturating_sub(self.consistent_since) > self.notified_within;
+        !self.is_confirmed || is_long || list.can_follow(&self.accepted)
     }
 
-    /// The list is believed. Later answers that say something else leave a doubt.
-    fn come_into_force(&mut self, now: Micros, Answered { exchange, list }: Answered) -> Weighed {
-        let is_new = list != self.held;
+    /// Accepts the list. If later responses differ from it, a new discrepancy begins.
+    fn accept(&mut self, now: Micros, ReceivedList { exchange, list }: ReceivedList) -> Weighed {
+        let is_new = list != self.accepted;
         self.is_confirmed = true;
-        self.end_doubt(now, is_new && !list.can_follow(&self.held));
+        self.end_discrepancy(now, is_new && !list.can_follow(&self.accepted));
         if is_new {
-            let former = std::mem::replace(&mut self.held, list);
-            if self.superseded.len() >= SUPERSEDED {
+            let former = std::mem::replace(&mut self.accepted, list);
+            if self.superseded.len() >= MAX_SUPERSEDED {
                 self.superseded.pop_front();
             }
             self.superseded.push_back(former.digest());
         }
         let later = std::mem::take(&mut self.recent);
-        if later.iter().any(|answered| answered.list != self.held) {
-            self.begin_doubt(now, false);
-            later.iter().for_each(|answered| self.dispute(&answered.list));
+        if later.iter().any(|received| received.list != self.accepted) {
+            self.begin_discrepancy(now, false);
+            later.iter().for_each(|received| self.mark_disputed(&received.list));
         }
         self.recent = later;
         Weighed { as_of: Some(exchange), is_new }
     }
 
-    fn end_doubt(&mut self, now: Micros, overturns: bool) {
-        let Some(doubt) = self.doubt.take().filter(|doubt| doubt.is_contradiction) else { return };
-        let lasted = now.saturating_sub(doubt.since);
+    fn end_discrepancy(&mut self, now: Micros, overturns: bool) {
+        let Some(discrepancy) = self.discrepancy.take().filter(|discrepancy| discrepancy.is_contradiction)
+        else {
+            return;
+        };
+        let lasted = now.saturating_sub(discrepancy.since);
         self.contradictions.settled += 1;
         self.contradictions.overturned += u64::from(overturns);
         self.contradictions.lasted += lasted;
