--- a/crates/engine/src/admission.rs
+++ b/crates/engine/src/admission.rs
@@ -1,17 +1,18 @@
-//! What is taken at all: bounds on open calls, bytes and names, each with a reason that clients and counters see.
+//! Admission control: limits on open calls, bytes and function names. Each has a reason for clients and
+//! counters.
 
 use foldhash::{HashSet, HashSetExt};
 
-/// Bounds on what the gateway holds for its clients.
+/// Limits on what the gateway keeps for its clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdmissionLimits {
-    /// Calls without their final answer.
+    /// Calls without a final answer.
     pub open_calls: usize,
-    /// Bytes of the bodies of those.
+    /// Bytes of the bodies of open calls.
     pub open_bytes: usize,
-    /// Calls and awaits of one connection without their answer.
+    /// Calls and awaits without an answer on one client connection.
     pub per_connection: usize,
-    /// Different function names that the module remembers.
+    /// Different function names that the dispatcher remembers.
     pub functions: usize,
 }
 
@@ -21,6 +22,7 @@
     }
 }
 
+/// The limits and their present use.
 #[derive(Debug)]
 pub struct Admission {
     pub limits: AdmissionLimits,
@@ -34,9 +36,10 @@
         Self { limits, calls: 0, bytes: 0, functions: HashSet::new() }
     }
 
-    /// Takes a call in, or says why not.
-    pub fn take(&mut self, function: &str, bytes: usize, on_connection: usize) -> Result<(), &'static str> {
-        if on_connection >= self.limits.per_connection {
+    /// Admits a call, or returns the reason for its rejection. `pending`: calls and awaits without an answer
+    /// on its connection.
+    pub fn admit(&mut self, function: &str, bytes: usize, pending: usize) -> Result<(), &'static str> {
+        if pending >= self.limits.per_connection {
             return Err("connection-full");
         }
         if self.calls >= self.limits.open_calls {
@@ -56,13 +59,13 @@
         Ok(())
     }
 
-    /// The module remembers this function no more.
-    pub fn forget(&mut self, function: &str) {
+    /// The dispatcher no longer remembers this function.
+    pub fn forget_function(&mut self, function: &str) {
         self.functions.remove(function);
     }
 
     pub fn release(&mut self, bytes: usize) {
-        debug_assert!(self.calls > 0 && self.bytes >= bytes, "released more than was taken");
+        debug_assert!(self.calls > 0 && self.bytes >= bytes, "released more than was admitted");
         self.calls -= 1;
         self.bytes -= bytes;
     }
--- a/crates/engine/src/counters.rs
+++ b/crates/engine/src/counters.rs
@@ -1,4 +1,4 @@
-//! What the engine counts. Plain numbers; the shell gives them out.
+//! Counters of the engine, exposed by the driver.
 
 use std::collections::BTreeMap;
 
@@ -10,29 +10,29 @@
 pub struct Counters {
     /// Names of the classes, in the order of the settings.
     pub classes: Vec<String>,
-    /// Calls taken, by class.
+    /// Accepted calls, by class.
     pub taken: Vec<u64>,
     /// Final answers, by class, status and reason.
     pub answers: BTreeMap<(usize, Status, &'static str), u64>,
-    /// Calls turned away before they were taken, by reason.
+    /// Calls rejected by admission control, by reason.
     pub turned_away: BTreeMap<&'static str, u64>,
-    /// Attempts, by how they ended.
+    /// Ended attempts, by how they ended.
     pub attempts: BTreeMap<&'static str, u64>,
-    /// Hold orders given.
+    /// Prewarm orders sent.
     pub orders: u64,
-    /// Answers to attempts that were over, and answers to nothing; dropped.
+    /// Dropped answers to attempts that had ended or never existed.
     pub late_answers: u64,
-    /// Repeats that joined an open call or got a kept result.
+    /// Repeated calls, matched to an open call or a kept result by their key.
     pub repeats: u64,
-    /// Calls that every waiter left.
+    /// Calls canceled because no client waited any more.
     pub abandoned: u64,
-    /// Results dropped before their time for lack of room.
+    /// Results dropped early because the memory limit was reached.
     pub results_evicted: u64,
-    /// List entries passed over, because there were more than are kept or their ids were empty.
+    /// List entries skipped because the list was too long or their id was empty.
     pub list_passed_over: u64,
-    /// Attempts and orders that were kept back or taken back right before they left, by reason.
+    /// Attempts and orders that were delayed or canceled right before sending, by reason.
     pub kept_back: BTreeMap<&'static str, u64>,
-    /// Attempts and orders that left against a rule, by rule. Anything but none is a fault of this program.
+    /// Attempts and orders that were sent against a rule, by rule. Any count is a bug of this program.
     pub violations: BTreeMap<&'static str, u64>,
 }
 
@@ -43,7 +43,7 @@
     }
 }
 
-/// Adds one.
-pub fn count<K: Ord>(map: &mut BTreeMap<K, u64>, key: K) {
+/// Increments the count of a key.
+pub fn increment<K: Ord>(map: &mut BTreeMap<K, u64>, key: K) {
     *map.entry(key).or_insert(0) += 1;
 }
--- a/crates/engine/src/departure.rs
+++ b/crates/engine/src/departure.rs
@@ -1,70 +1,70 @@
-//! Whether what was decided earlier may leave now.
+//! Decides right before sending whether an attempt or order may still be sent.
 //!
-//! The decision module places attempts and orders on what is known at that moment. Their bytes leave later: after the
-//! rest of a turn, once a connection stands, once the process that stood still goes on. In between the client may have
-//! gone, the deadline passed, the worker begun to drain, and the worker list may have grown too old to tell. This
-//! module is the one place that says whether something may still leave. The shells ask it right before the bytes do
-//! ([`crate::Engine::may_leave`]) and tell it afterwards what left ([`crate::Engine::departed`]); what left against
-//! the rules is counted.
+//! The dispatcher chooses workers by what is known at that moment. The bytes are sent later: at the end of
+//! the loop iteration, once a connection is established, or after a pause of the process. Meanwhile the
+//! client may have disconnected, the deadline passed, the worker begun to drain, or the worker list become
+//! too old to rely on. This module alone decides whether something may still be sent. The drivers ask right
+//! before sending ([`crate::Engine::may_leave`]) and report what they sent ([`crate::Engine::departed`]);
+//! violations are counted.
 //!
 //! Invariants:
-//! - nothing new goes to a worker that the list, or its own word, says is leaving;
-//! - nothing new goes to a worker about which the list service's answers contradict each other;
-//! - a list counts only as long as no event that it lacks can be past its grace;
-//! - a worker's own word that it serves counts as a list of that worker alone, as of the question.
+//! - nothing new is sent to a worker that is leaving by the worker list or by its own report;
+//! - nothing new is sent to a worker about which responses of the list service contradict each other;
+//! - a list is relied on only until an event that it lacks could be past its grace period;
+//! - a worker's report that it serves counts as a list of that worker alone, as of the time of the probe.
 //!
-//! It trusts the worker's word, and the times that the shell gives.
+//! Reports of workers and the times passed by the driver are trusted.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use cresswheel::{Micros, WorkerId};
 use cresswheel_protocol::Standing;
 
-/// An answer that comes within this of its question, and a question that follows the last answered one within it: the
-/// list was current until the list service fell silent.
-const CURRENT: Micros = 500_000;
-/// Bytes leave so much later than they are cleared, and clocks of two machines differ.
-const MARGIN: Micros = 100_000;
-/// A worker that left the list is remembered for so long, to judge what left for it.
-const REMEMBERED: Micros = 60_000_000;
+/// If the last response took at most this long, and the next poll was sent at most this long after the
+/// answered one, the list was current until the list service stopped responding.
+const MAX_CURRENT_DELAY: Micros = 500_000;
+/// Allows for the time between the decision and the send, and for clock skew between machines.
+const SEND_MARGIN: Micros = 100_000;
+/// How long a worker that left the list is remembered, to detect sends to it that break the rules.
+const LEAVING_RETENTION: Micros = 60_000_000;
 
-/// Whether something may leave.
+/// Whether something may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Departure {
-    /// It may.
+    /// It may be sent now.
     Now,
-    /// Not yet: something has to be heard first.
+    /// Not yet: more information is needed first.
     Wait(WaitFor),
-    /// It may not: take it back.
+    /// It must not be sent any more: cancel it.
     Never(Barred),
 }
 
-/// What has to be heard before something may leave.
+/// The information that is needed before something may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WaitFor {
-    /// An answer of the list service.
+    /// A response of the list service.
     List,
-    /// The worker's own word that it serves.
+    /// The worker's report that it serves.
     Worker,
-    /// Answers of the list service that agree about the worker.
+    /// Responses of the list service that agree about the worker.
     Agreement,
 }
 
-/// Why something may not leave.
+/// Why something must not be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Barred {
-    /// The call has its answer, or its client has gone.
+    /// The call was answered, or its client disconnected.
     CallOver,
-    /// The client's time is over.
+    /// The call's deadline has passed.
     DeadlinePassed,
-    /// The workers may have forgotten the call's earlier attempt.
+    /// The workers may no longer remember the call's earlier attempt, so a retry might run twice.
     MemoryPassed,
-    /// The worker drains or has gone.
+    /// The worker is draining or gone.
     WorkerLeaves,
 }
 
 impl Barred {
-    /// In a word, for logs and counters.
+    /// The name used in logs and counters.
     pub fn word(self) -> &'static str {
         match self {
             Self::CallOver => "call-over",
@@ -75,227 +75,241 @@
     }
 }
 
-/// When an event of the worker list counts as told.
+/// How long the worker list may be relied on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListTerms {
-    /// An event counts as told so long after it happened, whether its news came or not.
+    /// An event counts as notified at most this long after it happened, whether or not a response reported
+    /// it.
     pub told_within: Micros,
-    /// While the list service is silent, so long after the silence began.
+    /// The same while the list service does not respond, counted from the start of the silence.
     pub told_in_silence: Micros,
-    /// Nothing new may go to a worker so long after the news that it leaves.
+    /// Grace period: how long after the notification that a worker is leaving new work may still be sent to
+    /// it.
     pub grace: Micros,
-    /// So many questions in a row without an answer are a silence, not a loss.
+    /// This many consecutive polls without a response count as a silence of the service, not as lost
+    /// messages.
     pub silent_after: u32,
-    /// Workers may be asked whether they serve.
+    /// Workers can be probed for whether they serve.
     pub workers_answer: bool,
 }
 
 impl ListTerms {
-    /// How long a list, or a worker's word, may be acted on: an event right after it counts as told then, and its
-    /// grace is over.
-    fn trusted_for(&self) -> Micros {
-        (self.told_within + self.grace).saturating_sub(MARGIN)
+    /// How long a list or a worker's report may be relied on: until an event right after it counts as
+    /// notified and its grace period is over.
+    fn valid_for(&self) -> Micros {
+        (self.told_within + self.grace).saturating_sub(SEND_MARGIN)
     }
 
-    fn trusted_in_silence(&self) -> Micros {
-        (self.told_in_silence + self.grace).saturating_sub(MARGIN)
+    fn valid_in_silence(&self) -> Micros {
+        (self.told_in_silence + self.grace).saturating_sub(SEND_MARGIN)
     }
 }
 
 /// How current the worker list is.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ListAge {
-    /// It tells all that had happened by then: when the question was asked.
+    /// The list contains all events up to this time, at which the answered poll was sent.
     pub as_of: Micros,
-    /// When that question's answer came.
+    /// When the response to that poll arrived.
     pub heard: Micros,
-    /// The first question asked after that one.
+    /// When the first poll after that one was sent.
     pub first_unanswered: Option<Micros>,
-    /// The first question asked after that one to which no answer has come.
+    /// When the first poll after that one without a response was sent.
     pub first_missing: Option<Micros>,
-    /// Questions asked since an answer came last.
+    /// Polls sent since the last response.
     pub unanswered: u32,
-    /// For a while since nobody asked: this process stood still.
+    /// Polling was interrupted since then by a pause of this process.
     pub unasked: bool,
 }
 
 impl ListAge {
-    /// How long the last answer that counts took.
+    /// How long the last accepted response took.
     fn latency(&self) -> Micros {
         self.heard.saturating_sub(self.as_of)
     }
 
-    /// The list service answers, but late.
+    /// The list service responds, but late.
     fn is_slow(&self) -> bool {
-        self.latency() > CURRENT
+        self.latency() > MAX_CURRENT_DELAY
     }
 
-    /// The list was current when questions began to stay without an answer.
+    /// The list was current when the first poll without a response was sent.
     fn was_current_until_silence(&self) -> bool {
-        let asked_on = self.first_unanswered.is_some_and(|first| first.saturating_sub(self.as_of) <= CURRENT);
-        asked_on && !self.unasked && !self.is_slow()
+        let kept_polling =
+            self.first_unanswered.is_some_and(|first| first.saturating_sub(self.as_of) <= MAX_CURRENT_DELAY);
+        kept_polling && !self.unasked && !self.is_slow()
     }
 }
 
-/// What is known of the list's age and of the workers' own words.
+/// The age of the list, the reports of workers and the disputed workers.
 #[derive(Debug, Default)]
-pub(crate) struct Departures {
+pub(crate) struct SendGate {
     terms: Option<ListTerms>,
     age: ListAge,
-    /// Workers that said they serve, with the time of the question.
-    serving: BTreeMap<WorkerId, Micros>,
-    /// Workers that said they do not, with the time of the question; the list may not know it yet.
-    leaving: BTreeMap<WorkerId, Micros>,
-    /// Since when a worker is known to leave, or to have left.
-    told: BTreeMap<WorkerId, Micros>,
-    /// Since when answers of the list service contradict each other about a worker.
-    disputed: BTreeMap<WorkerId, Micros>,
+    /// Workers that reported to serve, with the time of the probe.
+    serving_reports: BTreeMap<WorkerId, Micros>,
+    /// Workers that reported to be leaving, with the time of the probe; the list may lack this still.
+    leaving_reports: BTreeMap<WorkerId, Micros>,
+    /// Since when the list has shown a worker as draining or gone.
+    leaving_since: BTreeMap<WorkerId, Micros>,
+    /// Since when responses of the list service contradict each other about a worker.
+    disputed_since: BTreeMap<WorkerId, Micros>,
 }
 
-impl Departures {
-    /// From now on the age of the list counts.
-    pub fn hold_to(&mut self, terms: ListTerms, age: ListAge) {
+impl SendGate {
+    /// Limits from now on how long the list may be relied on.
+    pub fn limit_list_age(&mut self, terms: ListTerms, age: ListAge) {
         (self.terms, self.age) = (Some(terms), age);
     }
 
-    /// The list's age is this.
-    pub fn aged(&mut self, age: ListAge) {
+    /// Updates the age of the list.
+    pub fn update_list_age(&mut self, age: ListAge) {
         self.age = age;
     }
 
-    /// A worker said whether it serves.
-    pub fn worker_said(&mut self, worker: WorkerId, serves: bool, asked: Micros) {
+    /// Records a worker's report of whether it serves, in response to a probe of that time.
+    pub fn worker_reported(&mut self, worker: WorkerId, serves: bool, probed_at: Micros) {
         if serves {
-            let last = self.serving.entry(worker).or_insert(asked);
-            *last = asked.max(*last);
+            let last = self.serving_reports.entry(worker).or_insert(probed_at);
+            *last = probed_at.max(*last);
         } else {
-            self.serving.remove(&worker);
-            self.leaving.insert(worker, asked);
+            self.serving_reports.remove(&worker);
+            self.leaving_reports.insert(worker, probed_at);
         }
     }
 
-    /// Answers of the list service contradict each other about these workers, and about no others.
-    pub fn dispute(&mut self, now: Micros, workers: BTreeSet<WorkerId>) {
-        self.disputed.retain(|worker, _| workers.contains(worker));
-        workers.into_iter().for_each(|worker| _ = self.disputed.entry(worker).or_insert(now));
+    /// Replaces the set of workers about which responses of the list service contradict each other.
+    pub fn set_disputed(&mut self, now: Micros, workers: BTreeSet<WorkerId>) {
+        self.disputed_since.retain(|worker, _| workers.contains(worker));
+        workers.into_iter().for_each(|worker| _ = self.disputed_since.entry(worker).or_insert(now));
     }
 
-    /// Disputed workers that the module is not to use: nothing more is heard that could settle it, and they can't be
-    /// asked.
+    /// Disputed workers that the dispatcher must not use, since no response can settle the dispute and
+    /// workers can't be probed.
     pub fn withheld(&self) -> BTreeSet<WorkerId> {
         match self.terms {
-            Some(terms) if !terms.workers_answer && self.is_unanswered(&terms) => {
-                self.disputed.keys().cloned().collect()
+            Some(terms) if !terms.workers_answer && self.is_service_silent(&terms) => {
+                self.disputed_since.keys().cloned().collect()
             }
             _ => BTreeSet::new(),
         }
     }
 
-    /// Whether the module is told that this worker drains, though the list has it in service.
-    pub fn is_kept_from_module(&self, worker: &WorkerId) -> bool {
-        self.says_it_leaves(worker)
-            || self.disputed.contains_key(worker)
-                && self.terms.is_some_and(|terms| !terms.workers_answer && self.is_unanswered(&terms))
+    /// Whether the dispatcher gets this worker as draining although the list has it in service.
+    pub fn is_treated_as_draining(&self, worker: &WorkerId) -> bool {
+        self.reports_leaving(worker)
+            || self.disputed_since.contains_key(worker)
+                && self.terms.is_some_and(|terms| !terms.workers_answer && self.is_service_silent(&terms))
     }
 
-    fn is_unanswered(&self, terms: &ListTerms) -> bool {
+    fn is_service_silent(&self, terms: &ListTerms) -> bool {
         self.age.unanswered >= terms.silent_after
     }
 
-    /// It said that it serves after it was disputed.
-    fn is_vouched_for(&self, worker: &WorkerId, disputed: Micros) -> bool {
-        self.serving.get(worker).is_some_and(|asked| *asked > disputed)
+    /// The worker was probed after it became disputed, and reported that it serves.
+    fn is_confirmed_serving(&self, worker: &WorkerId, disputed_at: Micros) -> bool {
+        self.serving_reports.get(worker).is_some_and(|probed_at| *probed_at > disputed_at)
     }
 
-    /// Whether the worker's own word, that it leaves, is newer than what the list can know.
-    pub fn says_it_leaves(&self, worker: &WorkerId) -> bool {
-        self.leaving.contains_key(worker)
+    /// Whether the worker reported that it is leaving, and the list may not contain this yet.
+    pub fn reports_leaving(&self, worker: &WorkerId) -> bool {
+        self.leaving_reports.contains_key(worker)
     }
 
-    /// Workers whose word the list has caught up with: it counts again.
-    pub fn caught_up(&mut self) -> Vec<WorkerId> {
+    /// Drops reports of leaving that the list must contain by now, and returns their workers: the list counts
+    /// again.
+    pub fn expire_leave_reports(&mut self) -> Vec<WorkerId> {
         let Some(terms) = self.terms else { return Vec::new() };
         let as_of = self.age.as_of;
-        let over = |asked: Micros| asked.saturating_add(terms.told_within) < as_of;
-        let over: Vec<_> =
-            self.leaving.iter().filter(|(_, asked)| over(**asked)).map(|(w, _)| w.clone()).collect();
-        over.iter().for_each(|worker| _ = self.leaving.remove(worker));
-        over
+        let is_superseded = |probed_at: Micros| probed_at.saturating_add(terms.told_within) < as_of;
+        let superseded: Vec<_> = self
+            .leaving_reports
+            .iter()
+            .filter(|(_, probed_at)| is_superseded(**probed_at))
+            .map(|(w, _)| w.clone())
+            .collect();
+        superseded.iter().for_each(|worker| _ = self.leaving_reports.remove(worker));
+        superseded
     }
 
-    /// The list names a worker so, or no longer. A worker that began anew said nothing yet.
-    pub fn listed(&mut self, now: Micros, worker: &WorkerId, standing: Standing, began_anew: bool) {
-        if began_anew {
-            self.leaving.remove(worker);
-            self.serving.remove(worker);
+    /// Records the standing of a worker on the list. Reports of a worker that restarted are dropped.
+    pub fn update_entry(&mut self, now: Micros, worker: &WorkerId, standing: Standing, restarted: bool) {
+        if restarted {
+            self.leaving_reports.remove(worker);
+            self.serving_reports.remove(worker);
         }
         if standing == Standing::In {
-            self.told.remove(worker);
+            self.leaving_since.remove(worker);
         } else {
-            self.told.entry(worker.clone()).or_insert(now);
+            self.leaving_since.entry(worker.clone()).or_insert(now);
         }
         if standing == Standing::Out {
-            self.leaving.remove(worker);
-            self.serving.remove(worker);
+            self.leaving_reports.remove(worker);
+            self.serving_reports.remove(worker);
         }
     }
 
-    /// Forgets workers that left long ago.
+    /// Drops what is kept of workers that left the list long ago.
     pub fn forget(&mut self, now: Micros, is_listed: impl Fn(&WorkerId) -> bool) {
-        self.told.retain(|worker, since| is_listed(worker) || since.saturating_add(REMEMBERED) > now);
-        self.serving.retain(|worker, _| is_listed(worker));
-        self.leaving.retain(|worker, _| is_listed(worker));
+        self.leaving_since
+            .retain(|worker, since| is_listed(worker) || since.saturating_add(LEAVING_RETENTION) > now);
+        self.serving_reports.retain(|worker, _| is_listed(worker));
+        self.leaving_reports.retain(|worker, _| is_listed(worker));
     }
 
-    /// Whether something may leave for a worker with this standing in the list.
-    pub fn judge(&self, now: Micros, worker: &WorkerId, standing: Option<Standing>) -> Departure {
-        if standing != Some(Standing::In) || self.says_it_leaves(worker) {
+    /// Whether something may be sent to a worker with this standing on the list.
+    pub fn decide(&self, now: Micros, worker: &WorkerId, standing: Option<Standing>) -> Departure {
+        if standing != Some(Standing::In) || self.reports_leaving(worker) {
             return Departure::Never(Barred::WorkerLeaves);
         }
         let Some(terms) = self.terms else { return Departure::Now };
-        if let Some(since) = self.disputed.get(worker) {
-            if !self.is_unanswered(&terms) || !terms.workers_answer {
+        if let Some(since) = self.disputed_since.get(worker) {
+            if !self.is_service_silent(&terms) || !terms.workers_answer {
                 return Departure::Wait(WaitFor::Agreement);
             }
-            if !self.is_vouched_for(worker, *since) {
+            if !self.is_confirmed_serving(worker, *since) {
                 return Departure::Wait(WaitFor::Worker);
             }
         }
-        if now <= self.trusted_until(&terms, worker) {
+        if now <= self.valid_until(&terms, worker) {
             return Departure::Now;
         }
-        if !self.is_unanswered(&terms) && !self.age.is_slow() {
+        if !self.is_service_silent(&terms) && !self.age.is_slow() {
             return Departure::Wait(WaitFor::List);
         }
-        let until = self.age.as_of.saturating_add(terms.trusted_in_silence());
+        let until = self.age.as_of.saturating_add(terms.valid_in_silence());
         if self.age.was_current_until_silence() && now <= until {
             return Departure::Now;
         }
-        // Where workers can't be asked, those known last go on: without the list service nothing better is to be had.
+        // If workers can't be probed, the last known list stays in use: without the list service there is no
+        // better source.
         match terms.workers_answer {
             true => Departure::Wait(WaitFor::Worker),
             false => Departure::Now,
         }
     }
 
-    /// Until when the list, or the worker's own word, may be acted on.
-    fn trusted_until(&self, terms: &ListTerms, worker: &WorkerId) -> Micros {
-        let known = self.serving.get(worker).copied().unwrap_or(0).max(self.age.as_of);
-        let until = known.saturating_add(terms.trusted_for());
-        // An answer that is missing may have been sent all the same, as late as the last one or sooner: what it held was
-        // told then.
+    /// Until when the list or the worker's report may be relied on.
+    fn valid_until(&self, terms: &ListTerms, worker: &WorkerId) -> Micros {
+        let known = self.serving_reports.get(worker).copied().unwrap_or(0).max(self.age.as_of);
+        let until = known.saturating_add(terms.valid_for());
+        // The missing response may have been sent and lost, with at most the latency of the last one: its
+        // contents count as notified then.
         let missing = self.age.first_missing.filter(|missing| *missing >= known);
-        let told = missing.map(|missing| missing.saturating_add(self.age.latency()));
-        told.map_or(until, |told| until.min(told.saturating_add(terms.grace).saturating_sub(MARGIN)))
+        let notified = missing.map(|missing| missing.saturating_add(self.age.latency()));
+        notified.map_or(until, |notified| {
+            until.min(notified.saturating_add(terms.grace).saturating_sub(SEND_MARGIN))
+        })
     }
 
-    /// Whether what leaves for this worker breaks the rule of drains: it was known to leave for longer than the grace,
-    /// or an answer has said so for as long.
+    /// Whether a send to this worker breaks the drain rule: the worker has been known to be leaving, or has
+    /// been disputed, for longer than the grace period.
     pub fn is_past_grace(&self, now: Micros, worker: &WorkerId) -> bool {
         let grace = self.terms.map_or(0, |terms| terms.grace);
-        let disputed = self.disputed.get(worker).filter(|since| !self.is_vouched_for(worker, **since));
-        let told = self.told.get(worker).or(disputed);
-        told.is_some_and(|told| told.saturating_add(grace) < now)
+        let disputed =
+            self.disputed_since.get(worker).filter(|since| !self.is_confirmed_serving(worker, **since));
+        let since = self.leaving_since.get(worker).or(disputed);
+        since.is_some_and(|since| since.saturating_add(grace) < now)
     }
 }
 
--- a/crates/engine/src/ending.rs
+++ b/crates/engine/src/ending.rs
@@ -1,43 +1,47 @@
-//! What sockets saw of an attempt or an order, and the one table from there to the module's outcomes.
+//! How attempts and orders ended on their connections, and the only mapping from there to the dispatcher's
+//! outcomes.
 
 use cresswheel::Outcome;
 use cresswheel_protocol::Ending;
 
-/// How an attempt ended, as the sockets saw it.
+/// How an attempt ended, as seen on its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// No connection to the worker was to be had in time.
+    /// No connection to the worker was established in time.
     NotConnected,
-    /// There was one, but it broke before a byte of the attempt was handed to the kernel: the worker is there.
+    /// An established connection broke before a byte of the attempt was passed to the kernel: the worker is
+    /// reachable.
     NotWritten,
-    /// It was taken back, for a reason that is not the worker's, before a byte of it was handed to the kernel.
+    /// It was canceled before a byte of it was passed to the kernel, for a reason unrelated to the worker.
     TakenBack,
-    /// The connection broke after the first byte was handed over.
+    /// The connection broke after the first byte was passed to the kernel.
     Broken,
-    /// This side closed the connection after the first byte was handed over, for a reason that is not the worker's.
+    /// This side closed the connection after the first byte was passed to the kernel, for a reason unrelated
+    /// to the worker.
     CutOff,
-    /// The worker answered; calls of the same function that it held when this one came.
+    /// The worker answered; the number is how many calls of the same function it had when this one arrived.
     Answered(Ending, u32),
-    /// The worker answered, but by its own word it ran something else than it was asked for.
+    /// The worker answered, but reported that it ran something else than the requested version. The number is
+    /// that of [`Self::Answered`].
     Wrong(u32),
-    /// Nothing was heard in time.
+    /// No answer arrived before the timeout.
     Silent,
-    /// The module called it off.
+    /// The dispatcher canceled it.
     CalledOff,
-    /// The call was over before the attempt began.
+    /// The call was over before the attempt was started.
     NotSent,
 }
 
 impl AttemptEnd {
-    /// The module's outcome. This is the one place that says whether an attempt provably never ran
-    /// (`ConnectFailed`, `Moot`, `Full`, `Miss`; see [`Outcome::never_ran`]) or may have run (all else).
+    /// The dispatcher's outcome. Only this mapping decides whether an attempt provably never ran
+    /// (`ConnectFailed`, `Moot`, `Full`, `Miss`; see [`Outcome::never_ran`]) or may have run (all others).
     ///
-    /// A worker's word is trusted: 'full', 'miss' and 'load-failed' are promises that the function did not
-    /// start. 'cancelled' is none: the worker may have begun before it was told.
+    /// Answers of workers are trusted: 'full', 'miss' and 'load-failed' guarantee that the function was not
+    /// started. 'cancelled' does not: the worker may have started it before the cancellation arrived.
     pub fn outcome(self) -> Outcome {
         match self {
             Self::NotConnected => Outcome::ConnectFailed,
-            // Says nothing against the worker: its next connection may be as good as any.
+            // No sign of a failing worker: its next connection may work.
             Self::NotWritten | Self::TakenBack | Self::NotSent => Outcome::Moot,
             Self::Answered(Ending::Full, _) => Outcome::Full,
             Self::Answered(Ending::Miss | Ending::LoadFailed, _) => Outcome::Miss,
@@ -49,7 +53,7 @@
         }
     }
 
-    /// In a word, for answers, counters and logs.
+    /// The name used in answers, counters and logs.
     pub fn word(self) -> &'static str {
         match self {
             Self::NotConnected => "not-connected",
@@ -66,29 +70,29 @@
     }
 }
 
-/// How an order ended, as the sockets saw it.
+/// How an order ended, as seen on its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderEnd {
-    /// No connection to the worker was to be had in time.
+    /// No connection to the worker was established in time.
     NotConnected,
     /// The connection broke.
     Broken,
-    /// The connection ended before the worker answered, which tells nothing of the worker: the order stands, its
-    /// answer is lost.
+    /// The connection was closed before the worker answered, which is no sign of a failing worker. The order
+    /// stays in effect, only its answer is lost.
     CutOff,
     /// The worker answered.
     Answered(Ending),
-    /// Nothing was heard in time.
+    /// No answer arrived before the timeout.
     Silent,
 }
 
 impl OrderEnd {
-    /// The module's outcome.
+    /// The dispatcher's outcome.
     pub fn outcome(self) -> Outcome {
         match self {
             Self::NotConnected => Outcome::ConnectFailed,
             Self::Broken => Outcome::Reset,
-            // Not the worker's failure: it did as it may with a connection that carries no request.
+            // Not a failure: a worker may close a connection without a request in flight.
             Self::CutOff => Outcome::Cancelled,
             Self::Silent => Outcome::Timeout,
             Self::Answered(Ending::Ok) => Outcome::Ok,
--- a/crates/engine/src/interface.rs
+++ b/crates/engine/src/interface.rs
@@ -1,4 +1,4 @@
-//! What goes into the engine and what comes out of it.
+//! The inputs and outputs of the engine.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -8,180 +8,185 @@
 
 use crate::{AdmissionLimits, AttemptEnd, ListAge, OrderEnd, ResultLimits};
 
-/// Settings of the engine; those of the decision module are among them.
+/// Settings of the engine, those of the dispatcher included.
 #[derive(Clone, Debug)]
 pub struct EngineSettings {
-    /// For the decision module.
+    /// Settings of the dispatcher.
     pub module: cresswheel::Settings,
-    /// What is taken at all.
+    /// Admission control.
     pub admission: AdmissionLimits,
-    /// What is kept of deferred calls and of calls with a key.
+    /// Retention of the results of deferred calls and of calls with an idempotency key.
     pub results: ResultLimits,
-    /// The module is told a deadline this much earlier than the client's, so that the last answer of all is
-    /// with the client in time.
+    /// The dispatcher gets a deadline this much earlier than the client's, so that even the last possible
+    /// answer reaches the client in time.
     pub answer_margin: Micros,
-    /// Longest time that a client may ask for.
+    /// The longest deadline that a client may request.
     pub most_time: Micros,
-    /// Time that a deferred call has when its client names none.
+    /// The deadline of a deferred call whose client requests none.
     pub deferred_time: Micros,
 }
 
-/// One expected answer: a connection (named by the shell, never twice) and the client's number on it.
+/// Identifies a pending answer: a client connection (its id is assigned by the driver and never reused) and
+/// the client's number on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Client {
-    /// The connection.
+    /// The client connection.
     pub connection: u64,
-    /// The client's own number for the call or the await.
+    /// The number that the client chose for the call or the await.
     pub number: u64,
 }
 
-/// A call as a client asked for it.
+/// A call as requested by a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Call {
-    /// The answer is fetched later.
+    /// The client fetches the result later, with an await.
     pub deferred: bool,
-    /// The function.
+    /// The name of the function.
     pub function: String,
-    /// Its class, by name.
+    /// The name of its class.
     pub class: String,
-    /// The tenant, by name; empty: none.
+    /// The name of the tenant; empty: none.
     pub tenant: String,
     /// The idempotency key; empty: none.
     pub key: String,
-    /// The workers alone drop repeats by the key; here nothing is kept of it.
+    /// Only the workers deduplicate by the key; the engine just passes it on.
     pub is_key_for_workers: bool,
-    /// Follows the call everywhere; empty: the call's id serves.
+    /// The trace id that is passed along with the call; empty: the id of the call is used.
     pub trace: String,
-    /// Time until the client gives up; 0: the class's own.
+    /// The client timeout; 0: the default of the class.
     pub time_left: Micros,
-    /// What is known of the function.
+    /// Resource needs of the function, as far as known.
     pub shape: Shape,
-    /// The arguments.
+    /// The arguments of the call.
     pub body: Vec<u8>,
-    /// The account that it is about, where the client tells it.
+    /// The account that the call concerns, if the client names one.
     pub account: Option<String>,
-    /// What it runs, if the function has versions; `None`: the function under its own name.
+    /// The version that the call is routed to, if the function has versions; `None`: the function under its
+    /// own name.
     pub route: Option<Route>,
 }
 
-/// The one version of its function that a call was given, for all its attempts.
+/// The version that a call is routed to, the same for all its attempts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// The name under which it is routed and loaded.
+    /// The name under which this version is routed and loaded.
     pub function: String,
-    /// What the worker must say that it ran; empty: anything.
+    /// The digest that the worker must report to have run; empty: any.
     pub digest: String,
-    /// The newer of two versions.
+    /// Whether this is the new one of two versions.
     pub new: bool,
-    /// Run beside the call of a client, only to compare its answer.
+    /// A shadow call: runs in addition to a client's call, only to compare the answers.
     pub twin: bool,
 }
 
 impl Call {
-    /// Whether its client's repeats are matched here.
+    /// Whether the engine deduplicates the call by its key.
     pub fn has_own_key(&self) -> bool {
         !self.key.is_empty() && !self.is_key_for_workers
     }
 
-    /// The name under which it is routed.
+    /// The name under which the call is routed.
     pub fn routed(&self) -> &str {
         self.route.as_ref().map_or(&self.function, |route| &route.function)
     }
 }
 
-/// What happened.
+/// An event that the engine handles.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// A client asks for a call.
+    /// A client sent a call.
     Call(Client, Call),
-    /// A client asks for the result of a call, and would wait so long for it.
+    /// A client requests the result of the call with this id, and waits for it at most this long.
     Await(Client, String, Micros),
     /// A client no longer waits for this answer.
     Cancel(Client),
-    /// A client's connection is gone.
+    /// A client connection was closed.
     Left(u64),
-    /// An attempt ended, with the worker's answer if there is one, and its word for what ran.
+    /// An attempt ended, with the answer of the worker if there is one, and what the worker reported to have
+    /// run.
     AttemptEnded(u64, AttemptEnd, Vec<u8>, Option<Origin>),
-    /// An order ended, with the instances that stand.
+    /// An order ended, with the number of loaded instances.
     OrderEnded(u64, OrderEnd, u32),
-    /// Calls of the first function are coming, from those of the second: it is to stand loaded for so long.
+    /// Calls of the first function are expected, as they follow from calls of the second one: it should stay
+    /// loaded for this long.
     Expected(FunctionId, FunctionId, Micros),
     /// A worker answered a probe.
     Probed(WorkerId),
-    /// A worker said, to a question of that time, whether it serves or leaves.
+    /// A worker reported whether it serves or is leaving.
     WorkerSaid {
         /// The worker.
         worker: WorkerId,
-        /// It takes new work.
+        /// Whether it accepts new work.
         serves: bool,
-        /// When it was asked.
+        /// When the probe was sent.
         asked: Micros,
     },
-    /// How current the worker list is, from now on.
+    /// The age of the worker list changed.
     ListAge(ListAge),
-    /// Answers of the list service contradict each other about these workers, and about no others.
+    /// The complete set of workers about which responses of the list service contradict each other.
     ListDisputed(BTreeSet<WorkerId>),
-    /// The worker list: all of it, or changes.
+    /// The whole worker list, or changes of it.
     List {
-        /// What is not named is gone.
+        /// Whether this is the whole list: workers that are not listed are gone.
         whole: bool,
         /// The entries.
         workers: Vec<Listed>,
     },
-    /// The worker list can't be reached; what is held stays in force.
+    /// The list service can't be reached; the last known list stays in use.
     ListLost,
-    /// Take nothing new from now on.
+    /// Reject new calls from now on.
     Drain,
-    /// Answer all that is still open, now.
+    /// Answer all open calls now.
     Stop,
-    /// Time has passed; [`crate::Engine::wake_at`] is due.
+    /// The time of [`crate::Engine::wake_at`] has come.
     Wake,
 }
 
 /// A final answer, or the answer to an await.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// How it ended.
+    /// How the call ended.
     pub status: Status,
-    /// Why, in a word; empty when served.
+    /// The name of the reason; empty when served.
     pub reason: &'static str,
-    /// How long a refused client should stay away; 0: no advice.
+    /// How long a client should wait before it retries a refused call; 0: no advice.
     pub retry_after: Micros,
-    /// The function's answer.
+    /// The result of the function.
     pub body: Arc<[u8]>,
-    /// What ran by the worker's word; else, without a digest, the version that the call was given.
+    /// What the worker reported to have run; otherwise the version that the call was routed to, without a
+    /// digest.
     pub origin: Option<Arc<Origin>>,
 }
 
 impl Answer {
-    pub(crate) fn bare(status: Status, reason: &'static str) -> Self {
+    pub(crate) fn without_body(status: Status, reason: &'static str) -> Self {
         Self { status, reason, retry_after: 0, body: Arc::from([]), origin: None }
     }
 }
 
-/// What an attempt carries to the worker.
+/// An attempt to be sent to its worker.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// Names the attempt; never used twice.
+    /// Identifies the attempt; never reused.
     pub number: u64,
     /// The worker.
     pub worker: WorkerId,
-    /// The call's id.
+    /// The id of the call.
     pub id: String,
-    /// Attempts of the call before this one.
+    /// Number of earlier attempts of the call.
     pub before: u32,
-    /// Time until nobody waits any more.
+    /// The time until the call's deadline.
     pub time_left: Micros,
-    /// The attempt itself is given up after this.
+    /// The timeout of the attempt itself.
     pub timeout: Micros,
-    /// Its class may be run more than once.
+    /// Whether calls of its class may run more than once.
     pub is_repeatable: bool,
     /// The call.
     pub call: Arc<Call>,
 }
 
 impl Attempt {
-    /// What the worker is sent. A call without a trace or a key of its own goes by the attempt's id.
+    /// The message for the worker. The id of the call replaces a missing trace id or key.
     pub fn message(&self) -> Message {
         let call = &self.call;
         let or_id = |text: &str| if text.is_empty() { self.id.clone() } else { text.to_owned() };
@@ -199,57 +204,57 @@
     }
 }
 
-/// What is to be done, in order.
+/// An action for the driver, to be executed in order.
 #[derive(Clone, Debug)]
 pub enum Output {
-    /// Tell the client that its deferred call was taken, under this id.
+    /// Send the client the id of its accepted deferred call.
     Accepted(Client, String),
-    /// Give the client its answer. Nothing more follows for it.
+    /// Send the client its answer, the last output for this [`Client`].
     Answer(Client, Answer),
-    /// The client broke the protocol: tell it why and close.
+    /// The client violated the protocol: send the reason and close the connection.
     Close(u64, &'static str),
-    /// Carry an attempt to its worker.
+    /// Send an attempt to its worker.
     Run(Attempt),
-    /// Nobody waits for this attempt any more, or it may no longer begin: take it back if no byte of it has left.
+    /// The attempt is no longer needed, or must no longer start: cancel it if no byte of it has been sent.
     Withdraw(WorkerId, u64),
-    /// Nothing was heard of this attempt in time: take it back as with `Withdraw`, or else give it up at the worker.
+    /// The attempt timed out: cancel it as with `Withdraw`, or at the worker if bytes of it have been sent.
     Overdue(WorkerId, u64),
-    /// Tell the worker that an attempt is called off.
+    /// Send the worker the cancellation of an attempt.
     CancelRun(WorkerId, u64),
-    /// Carry a hold order.
+    /// Send a prewarm order to a worker.
     Hold {
         /// The worker.
         worker: WorkerId,
-        /// Names the order; never used twice.
+        /// Identifies the order; never reused.
         order: u64,
         /// The function.
         function: FunctionId,
-        /// Instances wanted.
+        /// The requested number of loaded instances.
         count: u32,
-        /// What is known of the function.
+        /// Resource needs of the function, as far as known.
         shape: Shape,
     },
-    /// Have idle instances unloaded.
+    /// Have the worker unload idle instances of the function.
     Drop(WorkerId, FunctionId),
     /// Probe a worker.
     Probe(WorkerId),
-    /// Ask for the worker list.
+    /// Request the worker list.
     Follow,
-    /// A call that was given a version is over.
+    /// A call that was routed to a version is over.
     Over {
         /// The call.
         call: Arc<Call>,
-        /// How it ended.
+        /// How the call ended.
         status: Status,
-        /// Beyond its class's aim.
+        /// Whether it missed the latency objective of its class.
         late: bool,
-        /// One of its attempts ended in an error, or ran something else.
+        /// Whether one of its attempts ended in an error or ran the wrong version.
         erred: bool,
     },
-    /// A worker said what it ran for a call with a version, and whether that was something else.
+    /// What a worker reported to have run for a call with a version, and whether that was the wrong one.
     Ran(Arc<Call>, Option<Origin>, bool),
-    /// A load order was answered: an instance stands there, or not.
+    /// A prewarm order for this function ended; whether an instance is loaded.
     Loaded(FunctionId, bool),
-    /// A line for the operators.
+    /// Write a line to the log.
     Log(String),
 }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,18 +1,18 @@
-//! The gateway without sockets and clock.
+//! The state machine of a gateway, without sockets and clock.
 //!
-//! [`Engine::handle`] takes what happened ([`Input`]) with the time and appends what is to be done
-//! ([`Output`]). Between the two stands the decision module (`cresswheel::Dispatcher`), which alone says which
-//! worker gets an attempt, what is loaded, tried again or refused. The engine holds what the module does not
-//! care for: who waits for which answer, bodies, time-outs of attempts and orders, results of deferred calls,
-//! idempotency keys and the bounds on all of these.
+//! [`Engine::handle`] takes an event ([`Input`]) with the time and appends actions for the driver
+//! ([`Output`]). The dispatcher (`cresswheel::Dispatcher`, also called the decision module) alone decides
+//! which worker gets an attempt, and what is loaded, retried or refused. The engine keeps everything else:
+//! the clients waiting for answers, bodies, timeouts of attempts and orders, results of deferred calls,
+//! idempotency keys, and the limits on all of these.
 //!
 //! Invariants:
-//! - a call that was taken gets one final answer, and each of its waiters one;
-//! - each `Action::Send` of the module gets one `Event::Ended`, each `Hold` one `Event::Held`;
-//! - whether an attempt provably never ran is said in [`AttemptEnd::outcome`] and nowhere else;
-//! - whether what was decided may still leave is said in `departure` and nowhere else;
-//! - which of the list service's answers are believed is said in [`ListEvidence`] and nowhere else;
-//! - same inputs, same outputs.
+//! - an accepted call gets one final answer, and so does each of its waiters;
+//! - each `Action::Send` of the dispatcher gets one `Event::Ended`, each `Hold` one `Event::Held`;
+//! - only [`AttemptEnd::outcome`] decides whether an attempt provably never ran;
+//! - only `departure` decides whether an attempt or order may still be sent;
+//! - only [`ListEvidence`] decides which responses of the list service are accepted;
+//! - the same inputs give the same outputs.
 
 mod admission;
 mod counters;
--- a/crates/engine/src/results.rs
+++ b/crates/engine/src/results.rs
@@ -1,6 +1,6 @@
-//! Results of calls that are over, kept for a stated time within a stated memory.
+//! Results of finished calls, kept for a limited time within limited memory.
 //!
-//! A result that had to go leaves its id for a while, so that a client hears 'no longer kept' and not 'unknown'.
+//! The id of a dropped result is remembered for a while, so that a client gets 'expired' and not 'unknown'.
 
 use std::collections::VecDeque;
 
@@ -10,12 +10,12 @@
 
 use crate::Answer;
 
-/// Bounds on kept results.
+/// Limits on kept results.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResultLimits {
     /// How long a result is kept.
     pub keep: Micros,
-    /// Bytes of all results kept, bookkeeping included; the oldest go first.
+    /// Bytes of all kept results, bookkeeping included; above this the oldest are dropped.
     pub bytes: usize,
 }
 
@@ -26,19 +26,20 @@
     }
 }
 
-/// What one result costs beside its body: id, key, places in the tables.
+/// Bytes of one result besides its body: id, key, table entries.
 const OVERHEAD: usize = 512;
-/// Ids remembered after their results went, for each that could be kept at its least size.
-const REMEMBERED: usize = 16;
+/// Ids of dropped results remembered, per result of the smallest size that fits into the limit.
+const EXPIRED_IDS_PER_RESULT: usize = 16;
 
+/// Kept results by call id.
 #[derive(Debug, Default)]
 pub struct Results {
     pub limits: ResultLimits,
     kept: HashMap<String, Answer>,
-    order: VecDeque<(Micros, String)>,
+    insertion_order: VecDeque<(Micros, String)>,
     bytes: usize,
-    gone: HashSet<String>,
-    gone_order: VecDeque<String>,
+    expired: HashSet<String>,
+    expired_order: VecDeque<String>,
 }
 
 impl Results {
@@ -50,50 +51,50 @@
         self.kept.get(id)
     }
 
-    pub fn is_gone(&self, id: &str) -> bool {
-        self.gone.contains(id)
+    pub fn has_expired(&self, id: &str) -> bool {
+        self.expired.contains(id)
     }
 
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Keeps a result; gives back the ids of those that had to go for it.
-    pub fn put(&mut self, now: Micros, id: &str, answer: Answer) -> Vec<String> {
+    /// Keeps a result; returns the ids of the results that were dropped to make space.
+    pub fn insert(&mut self, now: Micros, id: &str, answer: Answer) -> Vec<String> {
         self.bytes += answer.body.len() + OVERHEAD;
-        self.order.push_back((now, id.into()));
+        self.insertion_order.push_back((now, id.into()));
         self.kept.insert(id.into(), answer);
-        let mut gone = Vec::new();
+        let mut dropped = Vec::new();
         while self.bytes > self.limits.bytes {
-            gone.extend(self.pop());
+            dropped.extend(self.drop_oldest());
         }
-        gone
+        dropped
     }
 
-    /// Drops what was kept long enough; gives back the ids.
+    /// Drops the results whose time is over; returns their ids.
     pub fn expire(&mut self, now: Micros) -> Vec<String> {
-        let mut gone = Vec::new();
+        let mut dropped = Vec::new();
         while self.next_expiry().is_some_and(|at| at <= now) {
-            gone.extend(self.pop());
+            dropped.extend(self.drop_oldest());
         }
-        gone
+        dropped
     }
 
     pub fn next_expiry(&self) -> Option<Micros> {
-        self.order.front().map(|(at, _)| at.saturating_add(self.limits.keep))
+        self.insertion_order.front().map(|(at, _)| at.saturating_add(self.limits.keep))
     }
 
-    fn pop(&mut self) -> Option<String> {
-        let (_, id) = self.order.pop_front()?;
+    fn drop_oldest(&mut self) -> Option<String> {
+        let (_, id) = self.insertion_order.pop_front()?;
         if let Some(answer) = self.kept.remove(&id) {
             self.bytes -= answer.body.len() + OVERHEAD;
         }
-        self.gone.insert(id.clone());
-        self.gone_order.push_back(id.clone());
-        if self.gone_order.len() > self.limits.bytes / OVERHEAD * REMEMBERED
-            && let Some(old) = self.gone_order.pop_front()
+        self.expired.insert(id.clone());
+        self.expired_order.push_back(id.clone());
+        if self.expired_order.len() > self.limits.bytes / OVERHEAD * EXPIRED_IDS_PER_RESULT
+            && let Some(oldest) = self.expired_order.pop_front()
         {
-            self.gone.remove(&old);
+            self.expired.remove(&oldest);
         }
         Some(id)
     }
