--- a/crates/engine/tests/sequences.rs
+++ b/crates/engine/tests/sequences.rs
@@ -1,5 +1,5 @@
-//! Arbitrary sequences of inputs: doubled, late, absurd. Whatever comes, each waiter gets one answer in time, a
-//! post has at most one attempt that may have run, and nothing is left over.
+//! Arbitrary sequences of inputs, among them duplicate, late and invalid ones: each waiter gets one answer in
+//! time, a post has at most one attempt that may have run, and no call or attempt stays open.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,14 +13,15 @@
 const S: u64 = 1_000_000;
 const CLASSES: [&str; 3] = ["check", "post", "keyed"];
 
+/// One random input, or a span of time.
 #[derive(Clone, Debug)]
 enum Step {
-    Pass(u64),
+    Advance(u64),
     Call { connection: u64, class: usize, deferred: bool, key: u8, time: u64 },
-    End { pick: usize, end: u8 },
-    Stale(u64, u8),
-    Order { pick: usize, end: u8 },
-    Left(u64),
+    AttemptEnd { pick: usize, end: u8 },
+    UnknownAttemptEnd(u64, u8),
+    OrderEnd { pick: usize, end: u8 },
+    Disconnect(u64),
     Cancel { connection: u64, back: u64 },
     Await { connection: u64, pick: usize, wait: u64 },
     List { whole: bool, workers: Vec<(u8, u8, bool)> },
@@ -29,14 +30,14 @@
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        4 => (0u64..400).prop_map(|ms| Step::Pass(ms * MS)),
+        4 => (0u64..400).prop_map(|ms| Step::Advance(ms * MS)),
         6 => (0u64..3, 0usize..3, any::<bool>(), 0u8..8, 0u64..3_000).prop_map(
             |(connection, class, deferred, key, ms)| Step::Call { connection, class, deferred, key, time: ms * MS }
         ),
-        6 => (any::<usize>(), 0u8..12).prop_map(|(pick, end)| Step::End { pick, end }),
-        1 => (0u64..50, 0u8..12).prop_map(|(number, end)| Step::Stale(number, end)),
-        2 => (any::<usize>(), 0u8..5).prop_map(|(pick, end)| Step::Order { pick, end }),
-        1 => (0u64..3).prop_map(Step::Left),
+        6 => (any::<usize>(), 0u8..12).prop_map(|(pick, end)| Step::AttemptEnd { pick, end }),
+        1 => (0u64..50, 0u8..12).prop_map(|(number, end)| Step::UnknownAttemptEnd(number, end)),
+        2 => (any::<usize>(), 0u8..5).prop_map(|(pick, end)| Step::OrderEnd { pick, end }),
+        1 => (0u64..3).prop_map(Step::Disconnect),
         1 => (0u64..3, 0u64..5).prop_map(|(connection, back)| Step::Cancel { connection, back }),
         1 => (0u64..3, any::<usize>(), 0u64..2_000).prop_map(|(connection, pick, ms)| Step::Await { connection, pick, wait: ms * MS }),
         1 => (any::<bool>(), prop::collection::vec((0u8..6, 0u8..3, any::<bool>()), 0..6))
@@ -61,23 +62,25 @@
     }
 }
 
-type Ends = Vec<(u64, Option<AttemptEnd>)>;
+/// The attempts of a call by number, each with how it ended.
+type AttemptEnds = Vec<(u64, Option<AttemptEnd>)>;
 
+/// The expected answers and the attempts and orders in flight, to check the outputs against.
 #[derive(Default)]
-struct Checked {
+struct Checker {
     deadlines: BTreeMap<Client, u64>,
-    calls: BTreeMap<String, (usize, Ends)>,
-    out: BTreeMap<u64, String>,
+    calls: BTreeMap<String, (usize, AttemptEnds)>,
+    in_flight: BTreeMap<u64, String>,
     orders: BTreeSet<u64>,
     deferred: Vec<String>,
 }
 
-impl Checked {
+impl Checker {
     fn outputs(&mut self, now: u64, out: Vec<Output>) {
         for output in out {
             match output {
                 Output::Answer(client, _) => {
-                    let deadline = self.deadlines.remove(&client).expect("one answer for each that waits");
+                    let deadline = self.deadlines.remove(&client).expect("one answer for each waiter");
                     assert!(now <= deadline, "answered {} us late", now - deadline);
                 }
                 Output::Accepted(client, id) => {
@@ -88,23 +91,23 @@
                     let class = CLASSES.iter().position(|c| *c == attempt.call.class).unwrap();
                     let (_, attempts) = self.calls.entry(attempt.id.clone()).or_insert((class, Vec::new()));
                     assert_eq!(attempt.before as usize, attempts.len());
-                    assert!(attempts.iter().all(|(_, end)| end.is_some()), "two attempts out");
+                    assert!(attempts.iter().all(|(_, end)| end.is_some()), "two attempts in flight");
                     if class == 1 {
-                        let free = |(_, end): &(u64, Option<AttemptEnd>)| {
+                        let never_ran = |(_, end): &(u64, Option<AttemptEnd>)| {
                             end.is_some_and(|e| e.outcome().never_ran())
                         };
-                        assert!(attempts.iter().all(free), "a post goes again after {attempts:?}");
+                        assert!(attempts.iter().all(never_ran), "a post is retried after {attempts:?}");
                     }
                     attempts.push((attempt.number, None));
-                    self.out.insert(attempt.number, attempt.id);
+                    self.in_flight.insert(attempt.number, attempt.id);
                 }
-                // Its time is up or its call is over: to the module it has ended.
+                // It timed out or its call is over: to the dispatcher it has ended.
                 Output::Withdraw(_, attempt) | Output::Overdue(_, attempt) => {
-                    if let Some(id) = self.out.get(&attempt) {
+                    if let Some(id) = self.in_flight.get(&attempt) {
                         let attempts = &mut self.calls.get_mut(id).unwrap().1;
-                        let silent =
+                        let set_silent =
                             |a: &mut (u64, Option<AttemptEnd>)| _ = a.1.get_or_insert(AttemptEnd::Silent);
-                        attempts.iter_mut().filter(|a| a.0 == attempt).for_each(silent);
+                        attempts.iter_mut().filter(|a| a.0 == attempt).for_each(set_silent);
                     }
                 }
                 Output::Hold { order, .. } => {
@@ -116,7 +119,7 @@
     }
 
     fn ended(&mut self, attempt: u64, how: AttemptEnd) {
-        if let Some(id) = self.out.remove(&attempt) {
+        if let Some(id) = self.in_flight.remove(&attempt) {
             let attempts = &mut self.calls.get_mut(&id).unwrap().1;
             attempts.iter_mut().filter(|a| a.0 == attempt).for_each(|a| a.1 = Some(how));
         }
@@ -158,39 +161,40 @@
         failure_persistence: None, rng_seed: RngSeed::Fixed(12), ..ProptestConfig::with_cases(300)
     })]
     #[test]
-    fn the_engine_keeps_its_promises(steps in prop::collection::vec(step(), 1..250), life: u64) {
-        let mut engine = Engine::new(settings(), life).unwrap();
-        let mut again = Engine::new(settings(), life).unwrap();
-        let mut checked = Checked::default();
+    fn the_engine_keeps_its_invariants(steps in prop::collection::vec(step(), 1..250), incarnation: u64) {
+        let mut engine = Engine::new(settings(), incarnation).unwrap();
+        let mut second_engine = Engine::new(settings(), incarnation).unwrap();
+        let mut checker = Checker::default();
         let mut now = 1_000 * S;
         let mut numbers = [0u64; 3];
-        let mut give = |checked: &mut Checked, now: u64, input: Input| {
+        let mut handle = |checker: &mut Checker, now: u64, input: Input| {
             let (mut out, mut other) = (Vec::new(), Vec::new());
             engine.handle(now, input.clone(), &mut out);
-            again.handle(now, input, &mut other);
+            second_engine.handle(now, input, &mut other);
             assert_eq!(format!("{out:?}"), format!("{other:?}"), "same inputs, same outputs");
-            checked.outputs(now, out);
+            checker.outputs(now, out);
             (engine.wake_at(), engine.open_calls(), engine.open_attempts())
         };
         let all = (0..4).map(|n| (n, 0, false)).collect();
         let mut steps = [vec![Step::List { whole: true, workers: all }], steps].concat();
-        steps.push(Step::Pass(20 * S));
-        let mut left = (None, 0, 0);
+        steps.push(Step::Advance(20 * S));
+        // The next wake-up, and the numbers of open calls and attempts.
+        let mut state = (None, 0, 0);
         for step in steps {
             match step {
-                Step::Pass(span) => {
+                Step::Advance(span) => {
                     let until = now + span;
-                    while let Some(at) = left.0.filter(|at| *at <= until) {
+                    while let Some(at) = state.0.filter(|at| *at <= until) {
                         now = now.max(at);
-                        left = give(&mut checked, now, Input::Wake);
+                        state = handle(&mut checker, now, Input::Wake);
                     }
                     now = until;
                 }
                 Step::Call { connection, class, deferred, key, time } => {
                     numbers[connection as usize] += 1;
                     let client = Client { connection, number: numbers[connection as usize] };
-                    let usual = if time == 0 { 2 * S } else { time };
-                    checked.deadlines.insert(client, now + usual);
+                    let time_left = if time == 0 { 2 * S } else { time };
+                    checker.deadlines.insert(client, now + time_left);
                     let call = Call {
                         deferred,
                         function: format!("f{}", class + usize::from(key) % 2),
@@ -205,48 +209,52 @@
                         route: None,
                         is_key_for_workers: false,
                     };
-                    left = give(&mut checked, now, Input::Call(client, call));
+                    state = handle(&mut checker, now, Input::Call(client, call));
                 }
-                Step::End { pick, end: code } => {
-                    if let Some(attempt) = checked.out.keys().nth(pick % checked.out.len().max(1)).copied() {
-                        checked.ended(attempt, end(code));
-                        left = give(&mut checked, now, Input::AttemptEnded(attempt, end(code), vec![1], None));
+                Step::AttemptEnd { pick, end: code } => {
+                    if let Some(attempt) =
+                        checker.in_flight.keys().nth(pick % checker.in_flight.len().max(1)).copied()
+                    {
+                        checker.ended(attempt, end(code));
+                        state =
+                            handle(&mut checker, now, Input::AttemptEnded(attempt, end(code), vec![1], None));
                     }
                 }
-                Step::Stale(number, code) => {
-                    if !checked.out.contains_key(&number) {
-                        left = give(&mut checked, now, Input::AttemptEnded(number, end(code), vec![], None));
+                Step::UnknownAttemptEnd(number, code) => {
+                    if !checker.in_flight.contains_key(&number) {
+                        state =
+                            handle(&mut checker, now, Input::AttemptEnded(number, end(code), vec![], None));
                     }
                 }
-                Step::Order { pick, end } => {
-                    let count = checked.orders.len().max(1);
-                    if let Some(order) = checked.orders.iter().nth(pick % count).copied() {
-                        checked.orders.remove(&order);
+                Step::OrderEnd { pick, end } => {
+                    let count = checker.orders.len().max(1);
+                    if let Some(order) = checker.orders.iter().nth(pick % count).copied() {
+                        checker.orders.remove(&order);
                         let how = match end {
                             0 => OrderEnd::NotConnected,
                             1 => OrderEnd::Broken,
                             2 => OrderEnd::Answered(Ending::Full),
                             _ => OrderEnd::Answered(Ending::Ok),
                         };
-                        left = give(&mut checked, now, Input::OrderEnded(order, how, 1));
+                        state = handle(&mut checker, now, Input::OrderEnded(order, how, 1));
                     }
                 }
-                Step::Left(connection) => {
-                    checked.deadlines.retain(|client, _| client.connection != connection);
-                    left = give(&mut checked, now, Input::Left(connection));
+                Step::Disconnect(connection) => {
+                    checker.deadlines.retain(|client, _| client.connection != connection);
+                    state = handle(&mut checker, now, Input::Left(connection));
                 }
                 Step::Cancel { connection, back } => {
                     let number = numbers[connection as usize].saturating_sub(back);
                     let client = Client { connection, number };
-                    checked.deadlines.remove(&client);
-                    left = give(&mut checked, now, Input::Cancel(client));
+                    checker.deadlines.remove(&client);
+                    state = handle(&mut checker, now, Input::Cancel(client));
                 }
                 Step::Await { connection, pick, wait } => {
-                    if let Some(id) = checked.deferred.get(pick % checked.deferred.len().max(1)).cloned() {
+                    if let Some(id) = checker.deferred.get(pick % checker.deferred.len().max(1)).cloned() {
                         numbers[connection as usize] += 1;
                         let client = Client { connection, number: numbers[connection as usize] };
-                        checked.deadlines.insert(client, now + wait);
-                        left = give(&mut checked, now, Input::Await(client, id, wait));
+                        checker.deadlines.insert(client, now + wait);
+                        state = handle(&mut checker, now, Input::Await(client, id, wait));
                     }
                 }
                 Step::List { whole, workers } => {
@@ -260,17 +268,17 @@
                         started: if cold { now } else { 0 },
                     };
                     let workers = workers.into_iter().map(entry).collect();
-                    left = give(&mut checked, now, Input::List { whole, workers });
+                    state = handle(&mut checker, now, Input::List { whole, workers });
                 }
-                Step::ListLost => left = give(&mut checked, now, Input::ListLost),
+                Step::ListLost => state = handle(&mut checker, now, Input::ListLost),
             }
         }
-        prop_assert!(checked.deadlines.is_empty(), "{:?} got no answer", checked.deadlines);
-        prop_assert_eq!((left.1, left.2), (0, 0), "calls and attempts that never end");
+        prop_assert!(checker.deadlines.is_empty(), "{:?} got no answer", checker.deadlines);
+        prop_assert_eq!((state.1, state.2), (0, 0), "calls and attempts that never end");
     }
 }
 
 #[test]
-fn statuses_have_words() {
+fn statuses_convert_to_and_from_words() {
     assert!(Status::ALL.iter().all(|s| Status::from_word(s.word()) == Some(*s)));
 }
