--- a/src/idle.rs
+++ b/src/idle.rs
@@ -1,48 +1,47 @@
-//! Functions by the time from which they may be forgotten, so that only those are looked at whose time has come.
-//! Nothing here decides anything.
+//! Functions by the time from which they may be forgotten, so that a sweep visits only those that are due.
 
 use std::collections::BTreeSet;
 
 use crate::interface::Micros;
-use crate::state::F;
+use crate::state::FunctionIndex;
 
-/// Each function with the time at which to look at it.
+/// The time at which each function is to be checked.
 #[derive(Debug, Default)]
 pub struct IdleQueue {
-    due: BTreeSet<(Micros, F)>,
-    /// By function.
-    times: Vec<Option<Micros>>,
+    due: BTreeSet<(Micros, FunctionIndex)>,
+    /// By function; the same times as in `due`.
+    check_at: Vec<Option<Micros>>,
     visits: u64,
 }
 
 impl IdleQueue {
-    /// Looks at a function no later than then.
-    pub fn no_later(&mut self, function: F, at: Micros) {
-        if self.times.len() <= function {
-            self.times.resize(function + 1, None);
+    /// Schedules a check of a function for the given time, unless an earlier one is scheduled.
+    pub fn check_no_later_than(&mut self, function: FunctionIndex, at: Micros) {
+        if self.check_at.len() <= function {
+            self.check_at.resize(function + 1, None);
         }
-        if self.times[function].is_none_or(|planned| at < planned) {
+        if self.check_at[function].is_none_or(|scheduled| at < scheduled) {
             self.visits += 1;
-            if let Some(planned) = self.times[function].replace(at) {
-                self.due.remove(&(planned, function));
+            if let Some(scheduled) = self.check_at[function].replace(at) {
+                self.due.remove(&(scheduled, function));
             }
             self.due.insert((at, function));
         }
     }
 
-    /// Takes out those whose time has passed.
-    pub fn take_due(&mut self, now: Micros) -> Vec<F> {
+    /// Takes out the functions whose time has passed.
+    pub fn take_due(&mut self, now: Micros) -> Vec<FunctionIndex> {
         let mut due = Vec::new();
         while let Some((_, function)) = self.due.first().copied().filter(|(at, _)| *at < now) {
             self.due.pop_first();
             self.visits += 1;
-            self.times[function] = None;
+            self.check_at[function] = None;
             due.push(function);
         }
         due
     }
 
-    /// How many entries were looked at or moved so far.
+    /// Entries visited or moved so far: a measure of the work done.
     pub fn visits(&self) -> u64 {
         self.visits
     }
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -1,9 +1,11 @@
-//! Every decision of cresswheel. Its interface (types, events, actions) is in `interface.rs`.
+//! All decisions of a gateway: which worker gets a request, which instances are loaded ahead of calls, and
+//! when a request is refused. The types of its interface are in `interface.rs`.
 //!
-//! The ordinary path is Tyche's: a forecast from each function's last arrivals orders the ring home to hold
-//! an instance just before the next call, lets it go when the forecast has plainly missed, and requests go to
-//! a believed-warm home first. All else guards the rules or answers failures. What a gateway keeps is its
-//! part of a whole that `settings.gateways` share, so that parts add up from one gateway to hundreds.
+//! The normal path is the Tyche algorithm: a forecast from the last arrivals of each function orders an
+//! instance at the function's home worker on the hash ring just before the next call, and releases it when
+//! the next call is clearly overdue. Requests go first to a home where an instance is believed to be loaded.
+//! Everything else enforces limits or handles failures. A gateway decides for its own part of the calls, one
+//! in `settings.gateways`, so that the decisions of one or of hundreds of gateways add up to the same totals.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,130 +17,144 @@
 use crate::interface::*;
 use crate::ring::Ring;
 use crate::state::*;
-use crate::wanted::Scale;
+use crate::wanted::LoadTimeSource;
 
-/// Arrivals in a function's forecast window (W): rides out bursts, yet turns within a few keep-alives.
-const WINDOW: usize = 16;
-/// Chance of a call by which the load timer is due (P_load, the paper's value).
-const P_LOAD: f64 = 0.06;
-/// Chance of a call by which a forecast has plainly missed (P_offload, the paper's value).
-const P_OFFLOAD: f64 = 0.94;
-/// Share of keep-alive after which a hold is renewed: leaves room for a slow or lost answer.
-const RENEW: f64 = 0.6;
-/// Share of keep-alive for which a warm belief lasts: an instance may give way to loads earlier.
-const BELIEF: f64 = 0.9;
-/// Chance from which an instance is believed to stand unseen: how often one stood, times the square of the
-/// peers' part of the calls, as few peers learn less from each other than a home's own evidence tells.
-const LIKELY: f64 = 0.5;
-/// Part of an instance's lanes that a home is planned to carry: other functions share the worker's cores.
-const PLAN: f64 = 0.3;
-/// Pre-load orders for each own arrival, so that the gateways' orders add up to a part of the calls ...
-const PRELOADS_PER_CALL: f64 = 0.5;
-/// ... and how many may be saved up.
-const PRELOADS_SAVED: f64 = 8.0;
-/// Points of each worker on the ring: evens the arcs out to about a tenth.
-const RING_POINTS: u64 = 100;
-/// Weight of a new observation in running means.
-const BLEND: f64 = 0.1;
-/// Share of the shortest aim that a worker's mean answer time may reach before its requests are limited:
-/// answer times are about exponential, so at half the aim most still come in time.
-const BUSY: f64 = 0.5;
-/// Workers past the homes, in ring order, that may stand in: keeps a function's requests on few workers.
-const STAND_INS: usize = 3;
-/// A failure adds one to a worker's score, a success leaves this share of it ...
-const FORGIVE: f64 = 0.8;
-/// ... and from this score on it is left alone: two failures with at most one success between.
-const SUSPECT: f64 = 1.75;
-/// A suspect is left alone for this share of keep-alive, an aim at least; then one success clears it. By then
-/// its functions stand elsewhere, and few of a gateway's requests would have met it sooner.
-const REST: f64 = 0.5;
-/// Below this share of listed workers in good health the sense gives way: it is likelier the network or us.
-const QUORUM: f64 = 0.34;
-/// Time-out of a repeatable attempt, in expected times, two aims at the least: a late repeat earns little.
-const PATIENCE: f64 = 8.0;
-/// Part of the stated multiple of its capacity that a cold worker is sent; the rest is for peers and chance.
-const COLD_SPEND: f64 = 0.6;
-/// Further attempts after one that may have run, for each request taken: a bad spell adds a fifth at most.
-const RETRY_SHARE: f64 = 0.2;
-/// Retries that may be saved up.
-const RETRY_SAVED: f64 = 8.0;
-/// Keep-alives after which a function not called, or a worker gone and silent, is forgotten: its forecast and
-/// its instances are long gone by then. A function that no worker answered is forgotten after one.
-const FORGET: u64 = 16;
-/// Sweeps within the shortest aim: pre-loads, waiting requests and silent workers are looked at that often.
-const SWEEPS: u64 = 16;
+/// Arrivals in a function's forecast window (W in the Tyche paper): enough to smooth bursts, few enough to
+/// follow a change within a few keep-alives.
+const FORECAST_ARRIVALS: usize = 16;
+/// Probability of a call by which an instance must be loaded (P_load, value of the Tyche paper).
+const LOAD_PROBABILITY: f64 = 0.06;
+/// Probability of a call by which, if none came, the forecast was wrong (P_offload, the paper's
+/// value).
+const RELEASE_PROBABILITY: f64 = 0.94;
+/// Share of the keep-alive after which a loaded instance is renewed: leaves time for a slow or lost answer.
+const RENEWAL_SHARE: f64 = 0.6;
+/// Share of the keep-alive for which an instance that was seen counts as loaded: it may be evicted earlier to
+/// make capacity for another load.
+const KNOWN_LOADED_SHARE: f64 = 0.9;
+/// Probability from which an instance is believed loaded without evidence of our own: how often one was,
+/// times the square of the peers' share of calls, because the calls of few peers say less than our own.
+const MIN_PEER_LOADED_PROBABILITY: f64 = 0.5;
+/// Share of an instance's concurrency that is planned for a home: other functions share the worker's cores.
+const PLANNED_CONCURRENCY_SHARE: f64 = 0.3;
+/// Prewarm orders for each call, so that the orders of all gateways stay in proportion to the calls.
+const PREWARM_TOKENS_PER_CALL: f64 = 0.5;
+/// Limit of the token bucket of prewarm orders.
+const MAX_PREWARM_TOKENS: f64 = 8.0;
+/// Points of each worker on the hash ring: the parts of the ring then differ by about a tenth.
+const RING_POINTS_PER_WORKER: u64 = 100;
+/// Weight of a new sample in running means.
+const MEAN_WEIGHT: f64 = 0.1;
+/// Target of a worker's mean response time, as a share of the shortest latency objective; above it, the
+/// requests in flight are limited. Response times are roughly exponential, so at half the objective most are
+/// in time.
+const TARGET_RESPONSE_SHARE: f64 = 0.5;
+/// Workers after the homes in ring order that may replace them: keeps a function's requests on few workers.
+const FALLBACK_WORKERS: usize = 3;
+/// A failure adds one to a worker's failure score, a success leaves this share of it.
+const SCORE_KEPT_ON_SUCCESS: f64 = 0.8;
+/// Failure score from which a worker is excluded: two failures with at most one success between them.
+const SUSPECT_SCORE: f64 = 1.75;
+/// Share of the keep-alive for which a suspect is excluded, but at least one latency objective; then one
+/// success clears it. By then its functions are loaded elsewhere, and few requests would have reached it
+/// sooner.
+const EXCLUSION_SHARE: f64 = 0.5;
+/// Below this share of healthy workers, health is ignored: the fault is more likely in the network or in this
+/// gateway.
+const MIN_HEALTHY_SHARE: f64 = 0.34;
+/// Timeout of an attempt that may be repeated, in expected times, but at least two latency objectives: a late
+/// repeat is worth little.
+const TIMEOUT_MULTIPLE: f64 = 8.0;
+/// Share of the permitted load of a cold worker that is used; the rest allows for peers and random peaks.
+const COLD_LOAD_SHARE: f64 = 0.6;
+/// Retries of attempts that may have run, for each request: while calls fail, retries add at most a fifth.
+const RETRY_TOKENS_PER_REQUEST: f64 = 0.2;
+/// Limit of the token bucket of retries.
+const MAX_RETRY_TOKENS: f64 = 8.0;
+/// Keep-alives after which an uncalled function, or a worker that is out of service and has answered nothing,
+/// is forgotten: its forecast and its instances have ended long before. A function of which no call ever
+/// succeeded is forgotten after one.
+const FORGET_AFTER_KEEP_ALIVES: u64 = 16;
+/// Sweeps in one shortest latency objective; a sweep reviews prewarms and dispatches waiting requests.
+const SWEEPS_PER_OBJECTIVE: u64 = 16;
 
 impl Forecast {
-    fn arrival(&mut self, now: Micros) {
-        self.times.push_back(now);
-        if self.times.len() > WINDOW {
-            self.times.pop_front();
+    fn record_arrival(&mut self, now: Micros) {
+        self.arrivals.push_back(now);
+        if self.arrivals.len() > FORECAST_ARRIVALS {
+            self.arrivals.pop_front();
         }
         let rate = self.rate();
         if rate > 0.0 {
-            self.load_at = now.saturating_add((-(1.0 - P_LOAD).ln() / rate) as Micros);
-            let release = now.saturating_add((-(1.0 - P_OFFLOAD).ln() / rate) as Micros);
-            self.release_at = release.max(self.told);
+            self.load_at = now.saturating_add((-(1.0 - LOAD_PROBABILITY).ln() / rate) as Micros);
+            let release = now.saturating_add((-(1.0 - RELEASE_PROBABILITY).ln() / rate) as Micros);
+            self.release_at = release.max(self.expected_until);
         }
     }
 
-    /// The rate that the arrivals prove: a standard error below their count, over the time until now. Few
-    /// arrivals close together prove next to nothing, and a function gone quiet fades.
-    fn sure_rate(&self, now: Micros) -> f64 {
-        let gaps = self.times.len().saturating_sub(1) as f64;
-        let span = now.saturating_sub(self.times.front().copied().unwrap_or(now));
+    /// A lower bound of the arrival rate: the count less its standard error, over the time until now. It is
+    /// near zero for a few arrivals close together, and falls while no call comes.
+    fn rate_lower_bound(&self, now: Micros) -> f64 {
+        let gaps = self.arrivals.len().saturating_sub(1) as f64;
+        let span = now.saturating_sub(self.arrivals.front().copied().unwrap_or(now));
         (gaps - gaps.sqrt()) / span.max(1) as f64
     }
 }
 
 impl Health {
-    fn view(&self, now: Micros) -> View {
+    fn state(&self, now: Micros) -> HealthState {
         match self.suspect {
-            false => View::Good,
-            true if now < self.until => View::Bad,
-            true => View::Trial,
+            false => HealthState::Healthy,
+            true if now < self.excluded_until => HealthState::Excluded,
+            true => HealthState::Probation,
         }
     }
 
-    fn fail(&mut self, now: Micros, score: f64, rest: f64) {
-        // What failed four rests ago says nothing any more.
-        let age = now.saturating_sub(std::mem::replace(&mut self.failed, now)) as f64;
-        self.score = self.score * (1.0 - age / (4.0 * rest)).max(0.0) + score;
-        let view = self.view(now);
-        if view == View::Trial || (view == View::Good && self.score >= SUSPECT) {
-            self.until = now.saturating_add(rest as Micros);
+    fn record_failure(&mut self, now: Micros, score: f64, exclusion: f64) {
+        // Earlier failures count less with their age, and nothing after four exclusion times.
+        let age = now.saturating_sub(std::mem::replace(&mut self.last_failure_at, now)) as f64;
+        self.failure_score = self.failure_score * (1.0 - age / (4.0 * exclusion)).max(0.0) + score;
+        let state = self.state(now);
+        if state == HealthState::Probation
+            || (state == HealthState::Healthy && self.failure_score >= SUSPECT_SCORE)
+        {
+            self.excluded_until = now.saturating_add(exclusion as Micros);
             self.suspect = true;
         }
     }
 
-    fn ok(&mut self, now: Micros) {
-        self.last_ok = now;
-        self.score *= if self.suspect { 0.0 } else { FORGIVE };
+    fn record_success(&mut self, now: Micros) {
+        self.last_success_at = now;
+        self.failure_score *= if self.suspect { 0.0 } else { SCORE_KEPT_ON_SUCCESS };
         self.suspect = false;
     }
 }
 
 impl Worker {
-    /// Whether it takes one more and stays near the target answer time. By Little's law the requests in
-    /// flight that give that time are those seen, times target over time seen, times the rank of the work;
-    /// less than one passes by lot. An instance's lanes over the gateways always pass: loads are no crowd.
-    fn takes_more(&self, target: f64, rank: f64, floor: f64, lot: f64) -> bool {
-        let limit = (self.crowd * target / self.answer_time.max(1.0) * rank).max(floor);
-        let part = if limit < 1.0 { lot } else { 0.0 };
-        self.answer_time <= target || f64::from(self.flying) + part < limit
+    /// Whether one more request keeps the worker near the target response time. By Little's law, the limit in
+    /// flight is the observed mean times the target over the observed response time, scaled by the class
+    /// weight; a limit below one admits that share of the requests, by random draw. At least `floor` (an
+    /// instance's concurrency over the gateways) is always admitted: slow responses from loads are not
+    /// overload.
+    fn accepts_another(&self, target: f64, class_weight: f64, floor: f64, random_draw: f64) -> bool {
+        let limit =
+            (self.mean_in_flight * target / self.mean_response_time.max(1.0) * class_weight).max(floor);
+        let fraction = if limit < 1.0 { random_draw } else { 0.0 };
+        self.mean_response_time <= target || f64::from(self.in_flight) + fraction < limit
     }
 
-    /// The share of its capacity that a worker has for sure at this time.
-    fn capacity(&self, cold: &ColdStart, at: Micros) -> f64 {
-        let warm_at = self.entry.started.map_or(0, |start| start.saturating_add(cold.warm_up));
-        let left = warm_at.saturating_sub(at).min(cold.warm_up) as f64 / cold.warm_up.max(1) as f64;
-        1.0 - (1.0 - cold.from) * left
+    /// The share of its capacity that a worker is sure to have at this time.
+    fn capacity_share(&self, cold: &ColdStart, at: Micros) -> f64 {
+        let warm_at = self.list_entry.started.map_or(0, |start| start.saturating_add(cold.warm_up));
+        let remaining = warm_at.saturating_sub(at).min(cold.warm_up) as f64 / cold.warm_up.max(1) as f64;
+        1.0 - (1.0 - cold.from) * remaining
     }
 
-    /// Half windows since the news of its start; the first is cut short by lot: gateways are out of step.
-    fn ramp_half(&self, cold: &ColdStart, now: Micros) -> u64 {
-        let half = (cold.window / 2).max(1);
-        (now.saturating_sub(self.ramp.since) + self.ramp.seed % half) / half
+    /// The number of the current half window since its start became known. The first one is shortened at
+    /// random, so that the gateways are out of phase.
+    fn half_window(&self, cold: &ColdStart, now: Micros) -> u64 {
+        let length = (cold.window / 2).max(1);
+        (now.saturating_sub(self.slow_start.since) + self.slow_start.seed % length) / length
     }
 }
 
@@ -147,93 +163,97 @@
 pub struct Dispatcher {
     settings: Settings,
     rng: Pcg32,
-    aim: Micros,
-    function_ids: BTreeMap<FunctionId, F>,
+    /// The shortest latency objective of all classes.
+    min_objective: Micros,
+    function_indices: BTreeMap<FunctionId, FunctionIndex>,
     pub(crate) functions: Vec<Function>,
-    free_functions: Vec<F>,
-    worker_ids: BTreeMap<WorkerId, W>,
+    free_function_indices: Vec<FunctionIndex>,
+    worker_indices: BTreeMap<WorkerId, WorkerIndex>,
     pub(crate) workers: Vec<Worker>,
-    free_workers: Vec<W>,
+    free_worker_indices: Vec<WorkerIndex>,
     pub(crate) ring: Ring,
-    pub(crate) holds: Holds,
-    pub(crate) idle: IdleQueue,
-    ledger: BTreeMap<RequestId, Entry>,
+    pub(crate) orders: LoadOrders,
+    pub(crate) idle_functions: IdleQueue,
+    requests: BTreeMap<RequestId, RequestRecord>,
     /// Functions with requests that wait at the gateway.
-    waiting: BTreeSet<F>,
+    functions_waiting: BTreeSet<FunctionIndex>,
     timers: BTreeSet<(Micros, Timer)>,
+    /// The earliest wake-up that was asked for and is still to come.
     wake_at: Option<Micros>,
-    retries: f64,
+    /// Token bucket of retries of attempts that may have run.
+    retry_tokens: f64,
     means: Means,
     fleet: Fleet,
     now: Micros,
-    swept: Micros,
+    /// When the rate of warmed-up workers was last refreshed and unused records were forgotten.
+    refreshed_at: Micros,
     actions: Vec<Action>,
 }
 
 impl Dispatcher {
-    /// A gateway with nothing but its settings. `seed` feeds a PCG-32 generator that breaks ties.
+    /// A gateway that knows only its settings. `seed` feeds a PCG-32 generator for random draws and ties.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
-        let aim = settings.classes.iter().map(|c| c.aim).min().unwrap_or(1);
+        let min_objective = settings.classes.iter().map(|class| class.aim).min().unwrap_or(1);
         Ok(Self {
             rng: Pcg32::new(seed, 0x0a02_bdbf_7bb3_c0a7),
-            aim,
-            function_ids: BTreeMap::new(),
+            min_objective,
+            function_indices: BTreeMap::new(),
             functions: Vec::new(),
-            free_functions: Vec::new(),
-            worker_ids: BTreeMap::new(),
+            free_function_indices: Vec::new(),
+            worker_indices: BTreeMap::new(),
             workers: Vec::new(),
-            free_workers: Vec::new(),
-            ring: Ring::new(RING_POINTS),
-            holds: Holds::default(),
-            idle: IdleQueue::default(),
-            ledger: BTreeMap::new(),
-            waiting: BTreeSet::new(),
+            free_worker_indices: Vec::new(),
+            ring: Ring::new(RING_POINTS_PER_WORKER),
+            orders: LoadOrders::default(),
+            idle_functions: IdleQueue::default(),
+            requests: BTreeMap::new(),
+            functions_waiting: BTreeSet::new(),
             timers: BTreeSet::new(),
             wake_at: None,
-            retries: RETRY_SAVED / 2.0,
+            retry_tokens: MAX_RETRY_TOKENS / 2.0,
             means: Means::new(settings.classes.len()),
             fleet: Fleet::default(),
             now: 0,
-            swept: 0,
+            refreshed_at: 0,
             actions: Vec::new(),
             settings,
         })
     }
 
-    /// Takes one event at the time `now` and appends what is to be done, in order.
+    /// Handles one event at the time `now` and appends the actions to carry out, in order.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         if self.timers.is_empty() {
-            self.swept = self.now;
+            self.refreshed_at = self.now;
             self.timers.insert((now, Timer::Sweep));
             self.actions.extend(self.settings.must_follow.then_some(Action::Follow));
         }
         match event {
-            Event::Arrived(request) => self.arrived(request),
+            Event::Arrived(request) => self.request_arrived(request),
             Event::Ended { request, attempt, outcome, elapsed, answered, crowd, load_failed, .. } => {
-                let crowd = crowd.filter(|_| self.settings.tells_crowd);
-                self.ended(&request, attempt, outcome, elapsed, (answered, crowd, load_failed));
+                let worker_load = crowd.filter(|_| self.settings.tells_crowd);
+                self.attempt_ended(&request, attempt, outcome, elapsed, (answered, worker_load, load_failed));
             }
             Event::Begun { request, .. } => {
-                self.ledger.entry(request).and_modify(|entry| entry.streaming = true);
+                self.requests.entry(request).and_modify(|record| record.streaming = true);
             }
-            Event::Gone(request) => self.close(&request),
-            Event::List(news) => self.list(news),
+            Event::Gone(request) => self.finish(&request),
+            Event::List(news) => self.update_worker_list(news),
             Event::Held { worker, function, outcome, elapsed, standing } => {
-                self.held(&worker, &function, outcome, elapsed, standing);
+                self.load_ended(&worker, &function, outcome, elapsed, standing);
             }
             Event::Probed { .. } => {}
-            Event::Expected { function, like, within } => self.expected(function, &like, within),
+            Event::Expected { function, like, within } => self.calls_expected(function, &like, within),
             Event::Wake => self.wake_at = self.wake_at.filter(|at| *at > self.now),
         }
         while let Some((_, timer)) = self.timers.first().filter(|(at, _)| *at <= self.now).cloned() {
             self.timers.pop_first();
             match timer {
-                Timer::Deadline(id) => self.answer(&id),
+                Timer::Deadline(id) => self.refuse_or_fail(&id),
                 Timer::Forecast(function) => self.forecast_due(function),
                 Timer::Sweep => self.sweep(),
-                Timer::Follow => self.actions.push(Action::Follow),
+                Timer::SubscribeToList => self.actions.push(Action::Follow),
             }
         }
         let next = self.timers.first().map(|(at, _)| *at);
@@ -244,810 +264,993 @@
         actions.append(&mut self.actions);
     }
 
-    /// A number in [0, 1).
-    fn lot(&mut self) -> f64 {
+    /// A random number in [0, 1).
+    fn random_draw(&mut self) -> f64 {
         f64::from(self.rng.next_u32()) / (f64::from(u32::MAX) + 1.0)
     }
 
-    fn list(&mut self, news: ListNews) {
+    fn update_worker_list(&mut self, news: ListNews) {
         let mut changed = BTreeSet::new();
         let entries = match news {
             ListNews::Lost => {
                 if self.settings.must_follow {
-                    self.timers.insert((self.now + self.settings.ask_within / 8 + self.aim, Timer::Follow));
+                    self.timers.insert((
+                        self.now + self.settings.ask_within / 8 + self.min_objective,
+                        Timer::SubscribeToList,
+                    ));
                 }
                 return;
             }
             ListNews::Whole(entries) => {
-                let named: BTreeSet<_> = entries.iter().map(|e| &e.id).collect();
-                for (_, w) in self.worker_ids.iter().filter(|(id, _)| !named.contains(id)) {
-                    self.workers[*w].entry.state = WorkerState::Out;
-                    changed.insert(*w);
+                let listed: BTreeSet<_> = entries.iter().map(|entry| &entry.id).collect();
+                for (_, worker) in self.worker_indices.iter().filter(|(id, _)| !listed.contains(id)) {
+                    self.workers[*worker].list_entry.state = WorkerState::Out;
+                    changed.insert(*worker);
                 }
                 entries
             }
             ListNews::Changes(entries) => entries,
         };
         for entry in entries {
-            let free = self.free_workers.last().copied().unwrap_or(self.workers.len());
-            let w = *self.worker_ids.entry(entry.id.clone()).or_insert(free);
-            if self.free_workers.last() == Some(&w) {
-                self.free_workers.pop();
-            } else if w == self.workers.len() {
+            let free_index = self.free_worker_indices.last().copied().unwrap_or(self.workers.len());
+            let index = *self.worker_indices.entry(entry.id.clone()).or_insert(free_index);
+            if self.free_worker_indices.last() == Some(&index) {
+                self.free_worker_indices.pop();
+            } else if index == self.workers.len() {
                 self.workers.push(Worker::default());
             }
-            if self.workers[w].entry.started != entry.started || self.workers[w].health.is_empty() {
-                // A new process: empty, cold, and innocent of what the old one did.
-                let worker = &mut self.workers[w];
+            if self.workers[index].list_entry.started != entry.started
+                || self.workers[index].health.is_empty()
+            {
+                // A new process: nothing is loaded, it is cold, and failures of the old process don't count.
+                let worker = &mut self.workers[index];
                 worker.health = vec![Health::default(); self.settings.classes.len() + 1];
-                worker.ramp = Ramp { since: self.now, seed: self.rng.next_u64(), ..Ramp::default() };
-                self.forget(w);
+                worker.slow_start =
+                    SlowStart { since: self.now, seed: self.rng.next_u64(), ..SlowStart::default() };
+                self.clear_placements(index);
             }
-            if self.workers[w].entry.state != entry.state {
-                changed.insert(w);
+            if self.workers[index].list_entry.state != entry.state {
+                changed.insert(index);
             }
-            self.workers[w].entry = entry;
+            self.workers[index].list_entry = entry;
         }
         if !changed.is_empty() {
-            self.ring.change(&changed, &self.workers);
-            changed.into_iter().for_each(|w| self.holds.wanted.resume(w));
+            self.ring.update(&changed, &self.workers);
+            changed.into_iter().for_each(|worker| self.orders.prewarms.worker_changed(worker));
         }
-        self.count();
-        self.rescue_waiting();
+        self.update_fleet();
+        self.dispatch_all_waiting();
     }
 
-    fn forget(&mut self, w: W) {
-        for f in &self.workers[w].functions {
-            self.functions[*f].places.entry(w).or_default().clear();
+    /// Discards what was known of loaded instances at a worker.
+    fn clear_placements(&mut self, worker: WorkerIndex) {
+        for function in &self.workers[worker].functions {
+            self.functions[*function].placements.entry(worker).or_default().clear();
         }
     }
 
-    fn count(&mut self) {
+    fn update_fleet(&mut self) {
         self.fleet = Fleet::default();
-        let (mut good, mut busy) = (0.0, 0.0);
-        for worker in self.workers.iter().filter(|w| w.entry.state == WorkerState::In) {
-            self.fleet.serving += 1.0;
-            self.fleet.warm += f64::from(u8::from(worker.capacity(&self.settings.cold, self.now) >= 1.0));
-            busy += f64::from(u8::from(worker.answer_time > self.aim as f64 * BUSY));
-            good += f64::from(u8::from(worker.health.iter().all(|h| h.view(self.now) == View::Good)));
+        let (mut healthy, mut busy) = (0.0, 0.0);
+        for worker in self.workers.iter().filter(|worker| worker.list_entry.state == WorkerState::In) {
+            self.fleet.in_service += 1.0;
+            self.fleet.warmed_up +=
+                f64::from(u8::from(worker.capacity_share(&self.settings.cold, self.now) >= 1.0));
+            busy += f64::from(u8::from(
+                worker.mean_response_time > self.min_objective as f64 * TARGET_RESPONSE_SHARE,
+            ));
+            healthy += f64::from(u8::from(
+                worker.health.iter().all(|health| health.state(self.now) == HealthState::Healthy),
+            ));
         }
-        self.fleet.calm = busy < 0.5 * self.fleet.serving;
-        self.fleet.trusting = good < QUORUM * self.fleet.serving;
+        self.fleet.mostly_within_target = busy < 0.5 * self.fleet.in_service;
+        self.fleet.ignore_health = healthy < MIN_HEALTHY_SHARE * self.fleet.in_service;
     }
 
-    fn arrived(&mut self, request: Request) {
-        if self.ledger.contains_key(&request.id) {
+    fn request_arrived(&mut self, request: Request) {
+        if self.requests.contains_key(&request.id) {
             return;
         }
-        self.retries = (self.retries + RETRY_SHARE).min(RETRY_SAVED);
-        self.holds.tokens = (self.holds.tokens + PRELOADS_PER_CALL).min(PRELOADS_SAVED);
-        let f = self.function(&request.function);
-        let function = &mut self.functions[f];
-        self.holds.wanted.touch(f, function.forecast.release_at);
-        function.forecast.arrival(self.now);
-        function.last_call = self.now;
-        function.lanes = f64::from(request.lanes.unwrap_or(1).max(1));
-        function.memory = request.memory_mb.unwrap_or(0.0);
-        if let (Some(load), true) = (request.load_time, function.load <= 0.0) {
-            function.load = load as f64;
+        self.retry_tokens = (self.retry_tokens + RETRY_TOKENS_PER_REQUEST).min(MAX_RETRY_TOKENS);
+        self.orders.prewarm_tokens =
+            (self.orders.prewarm_tokens + PREWARM_TOKENS_PER_CALL).min(MAX_PREWARM_TOKENS);
+        let index = self.function_index(&request.function);
+        let function = &mut self.functions[index];
+        self.orders.prewarms.function_changing(index, function.forecast.release_at);
+        function.forecast.record_arrival(self.now);
+        function.last_call_at = self.now;
+        function.concurrency = f64::from(request.lanes.unwrap_or(1).max(1));
+        function.memory_mb = request.memory_mb.unwrap_or(0.0);
+        if let (Some(load_time), true) = (request.load_time, function.mean_load_time <= 0.0) {
+            function.mean_load_time = load_time as f64;
         }
-        if !function.timer && function.forecast.release_at > self.now {
-            function.timer = true;
-            self.timers.insert((function.forecast.load_at, Timer::Forecast(f)));
+        if !function.forecast_timer_set && function.forecast.release_at > self.now {
+            function.forecast_timer_set = true;
+            self.timers.insert((function.forecast.load_at, Timer::Forecast(index)));
         }
-        self.idle.no_later(f, self.idle_from(f));
+        self.idle_functions.check_no_later_than(index, self.forgettable_from(index));
         let id = request.id.clone();
         let deadline = self.now.saturating_add(request.time_left);
         self.timers.insert((deadline, Timer::Deadline(id.clone())));
-        let entry = Entry { lot: self.lot(), ..Entry::new(request, f, self.now) };
-        self.ledger.insert(id.clone(), entry);
+        let record =
+            RequestRecord { random_draw: self.random_draw(), ..RequestRecord::new(request, index, self.now) };
+        self.requests.insert(id.clone(), record);
         self.dispatch(&id);
     }
 
-    fn function(&mut self, name: &FunctionId) -> F {
-        if let Some(f) = self.function_ids.get(name) {
-            return *f;
+    /// The index of a function; an unknown one is added.
+    fn function_index(&mut self, name: &FunctionId) -> FunctionIndex {
+        if let Some(index) = self.function_indices.get(name) {
+            return *index;
         }
-        let f = self.free_functions.pop().unwrap_or(self.functions.len());
-        if f == self.functions.len() {
+        let index = self.free_function_indices.pop().unwrap_or(self.functions.len());
+        if index == self.functions.len() {
             self.functions.push(Function::default());
         }
-        self.function_ids.insert(name.clone(), f);
-        let (name, kept) = (name.clone(), self.means.kept);
-        self.functions[f] = Function { name, kept, ..Function::default() };
-        f
+        self.function_indices.insert(name.clone(), index);
+        let (name, peer_loaded_share) = (name.clone(), self.means.peer_loaded_share);
+        self.functions[index] = Function { name, peer_loaded_share, ..Function::default() };
+        index
     }
 
-    /// Gives back the places of functions and workers that nothing refers to: names may come without end.
-    fn forget_the_gone(&mut self) {
-        let (mut functions, mut workers) = (self.waiting.clone(), BTreeSet::new());
-        for entry in self.ledger.values() {
-            functions.insert(entry.function);
-            workers.extend(entry.attempts.iter().map(|a| a.worker));
+    /// Frees the records of functions and workers that nothing refers to: the number of names that ever occur
+    /// is unbounded.
+    fn forget_unused(&mut self) {
+        let (mut functions_in_use, mut workers_in_use) = (self.functions_waiting.clone(), BTreeSet::new());
+        for record in self.requests.values() {
+            functions_in_use.insert(record.function);
+            workers_in_use.extend(record.attempts.iter().map(|attempt| attempt.worker));
         }
-        let mut over = Vec::new();
-        for f in self.idle.take_due(self.now) {
-            let function = &self.functions[f];
-            let ordered = function.places.values().any(|p| p.ordered.is_some());
-            let wanted = function.timer || ordered || self.holds.wanted.has_function(f);
-            match self.idle_from(f) {
-                from if from < self.now && !wanted && !functions.contains(&f) => over.push(f),
-                from => self.idle.no_later(f, from.max(self.now)),
+        let mut unused = Vec::new();
+        for index in self.idle_functions.take_due(self.now) {
+            let function = &self.functions[index];
+            let ordered = function.placements.values().any(|placement| placement.ordered_at.is_some());
+            let wanted = function.forecast_timer_set || ordered || self.orders.prewarms.has_function(index);
+            match self.forgettable_from(index) {
+                from if from < self.now && !wanted && !functions_in_use.contains(&index) => {
+                    unused.push(index)
+                }
+                from => self.idle_functions.check_no_later_than(index, from.max(self.now)),
             }
         }
-        over.sort_by(|a, b| self.functions[*a].name.cmp(&self.functions[*b].name));
-        for f in over {
-            let Function { name, places, .. } = std::mem::take(&mut self.functions[f]);
-            for w in places.into_keys() {
-                self.workers[w].functions.remove(&f);
+        unused.sort_by(|a, b| self.functions[*a].name.cmp(&self.functions[*b].name));
+        for index in unused {
+            let Function { name, placements, .. } = std::mem::take(&mut self.functions[index]);
+            for worker in placements.into_keys() {
+                self.workers[worker].functions.remove(&index);
             }
-            self.function_ids.remove(&name);
-            self.free_functions.push(f);
+            self.function_indices.remove(&name);
+            self.free_function_indices.push(index);
             self.actions.push(Action::Forget(name));
         }
-        let over = |w: &W| {
-            let worker = &self.workers[*w];
-            let silent = self.now.saturating_sub(worker.last_ok) > FORGET * self.settings.keep_alive;
-            let ordered = |f: &F| self.functions[*f].places.get(w).is_some_and(|p| p.ordered.is_some());
-            let referred = workers.contains(w) || self.holds.wanted.has_worker(*w);
-            let gone = worker.entry.state == WorkerState::Out && silent && !referred;
+        let unused = |index: &WorkerIndex| {
+            let worker = &self.workers[*index];
+            let silent = self.now.saturating_sub(worker.last_success_at)
+                > FORGET_AFTER_KEEP_ALIVES * self.settings.keep_alive;
+            let ordered = |function: &FunctionIndex| {
+                self.functions[*function]
+                    .placements
+                    .get(index)
+                    .is_some_and(|placement| placement.ordered_at.is_some())
+            };
+            let referenced = workers_in_use.contains(index) || self.orders.prewarms.has_worker(*index);
+            let gone = worker.list_entry.state == WorkerState::Out && silent && !referenced;
             gone && !worker.functions.iter().any(ordered)
         };
-        for w in self.worker_ids.values().copied().filter(over).collect::<Vec<_>>() {
-            let Worker { entry, functions, .. } = std::mem::take(&mut self.workers[w]);
-            self.worker_ids.remove(&entry.id);
-            self.free_workers.push(w);
-            functions.into_iter().for_each(|f| self.functions[f].leave(w));
+        for index in self.worker_indices.values().copied().filter(unused).collect::<Vec<_>>() {
+            let Worker { list_entry, functions, .. } = std::mem::take(&mut self.workers[index]);
+            self.worker_indices.remove(&list_entry.id);
+            self.free_worker_indices.push(index);
+            functions.into_iter().for_each(|function| self.functions[function].forget_worker(index));
         }
     }
 
-    /// From when a function may be forgotten, if nothing comes of it until then.
-    fn idle_from(&self, f: F) -> Micros {
-        let function = &self.functions[f];
-        let spans = if function.served { FORGET } else { 1 };
-        function.idle_from(spans * self.settings.keep_alive)
+    /// When a function may be forgotten if nothing happens to it until then.
+    fn forgettable_from(&self, index: FunctionIndex) -> Micros {
+        let function = &self.functions[index];
+        let keep_alives = if function.ever_succeeded { FORGET_AFTER_KEEP_ALIVES } else { 1 };
+        function.idle_deadline(keep_alives * self.settings.keep_alive)
     }
 
-    /// Pre-loads a function as its forecast would, on the word that the calls of another are to come to it.
-    fn expected(&mut self, name: FunctionId, like: &FunctionId, within: Micros) {
-        let f = self.function(&name);
-        let twin = self.function_ids.get(like).map(|l| &self.functions[*l]);
-        let (lanes, memory, load) = twin.map_or((1.0, 0.0, 0.0), |l| (l.lanes, l.memory, l.load));
-        let function = &mut self.functions[f];
-        self.holds.wanted.touch(f, function.forecast.release_at);
-        if function.lanes <= 0.0 {
-            // Not called yet: no peer's calls have kept it either.
-            (function.lanes, function.memory, function.load, function.kept) = (lanes, memory, load, 0.0);
+    /// Prewarms a function as its forecast would, because calls of a similar function are to be moved to it.
+    fn calls_expected(&mut self, name: FunctionId, similar: &FunctionId, within: Micros) {
+        let index = self.function_index(&name);
+        let similar = self.function_indices.get(similar).map(|similar| &self.functions[*similar]);
+        let (concurrency, memory_mb, mean_load_time) = similar.map_or((1.0, 0.0, 0.0), |similar| {
+            (similar.concurrency, similar.memory_mb, similar.mean_load_time)
+        });
+        let function = &mut self.functions[index];
+        self.orders.prewarms.function_changing(index, function.forecast.release_at);
+        if function.concurrency <= 0.0 {
+            // Never called yet, so no calls of peers have kept it loaded either.
+            (function.concurrency, function.memory_mb, function.mean_load_time, function.peer_loaded_share) =
+                (concurrency, memory_mb, mean_load_time, 0.0);
         }
         let forecast = &mut function.forecast;
-        forecast.told = self.now.saturating_add(within);
-        forecast.release_at = forecast.release_at.max(forecast.told);
-        if !std::mem::replace(&mut function.timer, true) {
-            self.timers.insert((self.now, Timer::Forecast(f)));
+        forecast.expected_until = self.now.saturating_add(within);
+        forecast.release_at = forecast.release_at.max(forecast.expected_until);
+        if !std::mem::replace(&mut function.forecast_timer_set, true) {
+            self.timers.insert((self.now, Timer::Forecast(index)));
         }
-        self.idle.no_later(f, self.idle_from(f));
+        self.idle_functions.check_no_later_than(index, self.forgettable_from(index));
     }
 
-    /// Gives the request its next attempt, a load to wait for, or, when neither can be had, time.
+    /// Sends the next attempt of a request or orders a load for it; if neither is possible, it waits.
     fn dispatch(&mut self, id: &RequestId) {
-        let Some(entry) = self.ledger.get(id) else { return };
-        let f = entry.function;
-        let waiter = (entry.deadline, id.clone());
-        if entry.attempts.len() >= self.settings.max_attempts || !self.may_send_again(entry) {
-            return self.answer(id);
+        let Some(record) = self.requests.get(id) else { return };
+        let function = record.function;
+        let waiter = (record.deadline, id.clone());
+        if record.attempts.len() >= self.settings.max_attempts || !self.may_send_again(record) {
+            return self.refuse_or_fail(id);
         }
-        let loads = self.settings.when_absent == WhenAbsent::Miss && self.settings.may_order;
-        // A worker that takes no order may still have an instance: ask it with the request itself. So is one
-        // where peers may keep an instance: its 'miss' is quick, and proves that nothing ran.
-        let sent = self.route(id).is_some_and(|w| {
-            let ordered = loads && self.lacks(f, w) && self.order_gate(w, f, true, 1);
+        let orders_loads = self.settings.when_absent == WhenAbsent::Miss && self.settings.may_order;
+        // Where no order can be sent, an instance may still be loaded: the request itself is sent. The same
+        // holds where peers may keep an instance loaded: a miss is answered quickly and proves that nothing
+        // ran.
+        let sent = self.choose_worker(id).is_some_and(|worker| {
+            let ordered = orders_loads
+                && self.known_absent(function, worker)
+                && self.try_order(worker, function, true, 1);
             if !ordered {
-                self.grow(f, w);
+                self.order_missing_instances(function, worker);
             }
-            !ordered && self.send_gate(id, w)
+            !ordered && self.try_send(id, worker)
         });
         if sent {
-            self.functions[f].waiting.remove(&waiter);
+            self.functions[function].waiting.remove(&waiter);
         } else {
-            self.functions[f].waiting.insert(waiter);
-            self.waiting.insert(f);
+            self.functions[function].waiting.insert(waiter);
+            self.functions_waiting.insert(function);
         }
     }
 
-    /// Algorithm 1, with the exceptions that docs/DESIGN.md names.
-    fn route(&mut self, id: &RequestId) -> Option<W> {
-        let entry = self.ledger.get(id)?;
-        let (f, class) = (entry.function, entry.request.class);
-        let (rank, lot) = (self.rank(class), entry.lot);
-        let avoid: Vec<W> = entry.attempts.iter().filter(|a| a.avoid).map(|a| a.worker).collect();
-        let homes = self.homes(f);
-        let usable = |w: &W| !avoid.contains(w) && self.has_room(f, *w) && self.may_take(*w, class);
-        let able: Vec<W> = self.ring_of(f).filter(usable).take(homes + STAND_INS).collect();
-        let homes = homes.min(able.len());
+    /// Algorithm 1 of the Tyche paper, with the exceptions listed in docs/DESIGN.md.
+    fn choose_worker(&mut self, id: &RequestId) -> Option<WorkerIndex> {
+        let record = self.requests.get(id)?;
+        let (index, class) = (record.function, record.request.class);
+        let (class_weight, random_draw) = (self.class_weight(class), record.random_draw);
+        let avoid: Vec<WorkerIndex> = record
+            .attempts
+            .iter()
+            .filter(|attempt| attempt.avoid_worker)
+            .map(|attempt| attempt.worker)
+            .collect();
+        let homes = self.home_count(index);
+        let usable = |worker: &WorkerIndex| {
+            !avoid.contains(worker) && self.has_capacity(index, *worker) && self.admits_class(*worker, class)
+        };
+        let usable: Vec<WorkerIndex> =
+            self.workers_in_ring_order(index).filter(usable).take(homes + FALLBACK_WORKERS).collect();
+        let homes = homes.min(usable.len());
 
-        let function = &self.functions[f];
-        let target = self.aim as f64 * BUSY;
-        let flying = |w: W| f64::from(function.places.get(&w).map_or(0, |p| p.flying));
-        let lanes = |w: W| self.lanes_at(f, w);
-        let warm = |w: W| self.believed_warm(f, w);
-        let floor = |w: W| lanes(w) / f64::from(self.settings.gateways);
-        let takes = |w: W| self.workers[w].takes_more(target, rank, floor(w), lot);
-        let has_lane = |w: W| warm(w) && takes(w) && flying(w) < lanes(w);
-        // Little's law again: a worker's time to answer tells of the peers' requests in flight there.
-        let peers = |w: W| self.peers() * self.workers[w].answer_time / self.means.run.max(1.0);
-        let weigh = |w: W| (f64::from(self.workers[w].flying) + peers(w), w);
-        let (homes, beyond) = able.split_at(homes);
-        let free: Vec<_> = homes.iter().filter(|w| has_lane(**w)).map(|w| weigh(*w)).collect();
+        let function = &self.functions[index];
+        let target = self.min_objective as f64 * TARGET_RESPONSE_SHARE;
+        let in_flight = |worker: WorkerIndex| {
+            f64::from(function.placements.get(&worker).map_or(0, |placement| placement.in_flight))
+        };
+        let concurrency = |worker: WorkerIndex| self.concurrency_at(index, worker);
+        let loaded = |worker: WorkerIndex| self.believed_loaded(index, worker);
+        let floor = |worker: WorkerIndex| concurrency(worker) / f64::from(self.settings.gateways);
+        let accepts = |worker: WorkerIndex| {
+            self.workers[worker].accepts_another(target, class_weight, floor(worker), random_draw)
+        };
+        let has_free_slot = |worker: WorkerIndex| {
+            loaded(worker) && accepts(worker) && in_flight(worker) < concurrency(worker)
+        };
+        // By Little's law, a worker's response time shows how many requests of peers are in flight there.
+        let peer_in_flight = |worker: WorkerIndex| {
+            self.peer_share() * self.workers[worker].mean_response_time / self.means.run_time.max(1.0)
+        };
+        let with_load = |worker: WorkerIndex| {
+            (f64::from(self.workers[worker].in_flight) + peer_in_flight(worker), worker)
+        };
+        let (homes, fallbacks) = usable.split_at(homes);
+        let free: Vec<_> =
+            homes.iter().filter(|home| has_free_slot(**home)).map(|home| with_load(*home)).collect();
         if !free.is_empty() {
-            return fewest(&mut self.rng, &free);
+            return pick_least_loaded(&mut self.rng, &free);
         }
-        // Exception: while no home has a warm lane, the next warm one on the ring stands in; one that was not
-        // seen warm only if all homes are busy, not if they lack the function.
-        let busy = !homes.iter().any(|w| takes(*w));
-        let stands_in = |w: &&W| (busy || self.known_warm(f, **w)) && has_lane(**w);
-        if let Some(stand_in) = beyond.iter().find(stands_in) {
-            return Some(*stand_in);
+        // Exception: if no home has a free slot in a loaded instance, the next worker on the ring that has
+        // one is used; one without evidence of our own that it is loaded, only if all homes are busy.
+        let all_homes_busy = !homes.iter().any(|home| accepts(*home));
+        let is_usable_fallback = |worker: &&WorkerIndex| {
+            (all_homes_busy || self.known_loaded(index, **worker)) && has_free_slot(**worker)
+        };
+        if let Some(fallback) = fallbacks.iter().find(is_usable_fallback) {
+            return Some(*fallback);
         }
-        // Exception: a busy fleet loads no further instances, only those of functions that have none.
-        let widen = self.fleet.calm || !homes.iter().any(|w| warm(*w));
-        let taking = homes.iter().filter(|w| takes(**w) && (widen || warm(**w)));
-        let taking: Vec<_> = taking.map(|w| weigh(*w)).collect();
-        fewest(&mut self.rng, &taking)
+        // Exception: a busy fleet loads further instances only of functions without any.
+        let may_load = self.fleet.mostly_within_target || !homes.iter().any(|home| loaded(*home));
+        let accepting = homes.iter().filter(|home| accepts(**home) && (may_load || loaded(**home)));
+        let accepting: Vec<_> = accepting.map(|home| with_load(*home)).collect();
+        pick_least_loaded(&mut self.rng, &accepting)
     }
 
-    /// Whether a worker may be given a request of this class: healthy or on trial, within its cold start.
-    fn may_take(&self, w: W, class: usize) -> bool {
-        let worker = &self.workers[w];
-        let healthy = match worker.health.get(class).or(worker.health.last()).map(|h| h.view(self.now)) {
-            None | Some(View::Good) => true,
-            Some(View::Trial) => worker.flying == 0,
-            Some(View::Bad) => false,
-        };
-        (healthy || self.fleet.trusting) && self.cold_budget(w) >= 1.0
+    /// Whether a worker may get a request of this class: healthy or on probation, within its slow start.
+    fn admits_class(&self, index: WorkerIndex, class: usize) -> bool {
+        let worker = &self.workers[index];
+        let healthy =
+            match worker.health.get(class).or(worker.health.last()).map(|health| health.state(self.now)) {
+                None | Some(HealthState::Healthy) => true,
+                Some(HealthState::Probation) => worker.in_flight == 0,
+                Some(HealthState::Excluded) => false,
+            };
+        (healthy || self.fleet.ignore_health) && self.slow_start_budget(index) >= 1.0
     }
 
-    fn has_room(&self, f: F, w: W) -> bool {
-        self.functions[f].places.get(&w).is_none_or(|p| p.no_room <= self.now)
+    fn has_capacity(&self, function: FunctionIndex, worker: WorkerIndex) -> bool {
+        self.functions[function]
+            .placements
+            .get(&worker)
+            .is_none_or(|placement| placement.no_capacity_until <= self.now)
     }
 
-    fn ring_of(&self, f: F) -> impl Iterator<Item = W> {
-        self.ring.order(&self.functions[f].name, self.workers.len())
+    fn workers_in_ring_order(&self, function: FunctionIndex) -> impl Iterator<Item = WorkerIndex> {
+        self.ring.order(&self.functions[function].name, self.workers.len())
     }
 
-    /// Calls of a function a microsecond at all gateways: ours times the gateways, or, where answers tell how
-    /// many requests the homes held, that over the run time, whichever is less: both err upwards.
-    fn fleet_rate(&self, f: F) -> f64 {
-        let function = &self.functions[f];
-        let ours = function.forecast.sure_rate(self.now) * f64::from(self.settings.gateways);
-        match function.crowd > 0.0 && function.run > 0.0 {
-            true => ours.min(function.crowd / function.run),
-            false => ours,
+    /// Estimate of a function's calls in one microsecond at all gateways: our rate times the gateways or, if
+    /// answers count the requests at homes, these over the run time. The lower one, as both err upwards.
+    fn fleet_rate(&self, index: FunctionIndex) -> f64 {
+        let function = &self.functions[index];
+        let from_own_rate = function.forecast.rate_lower_bound(self.now) * f64::from(self.settings.gateways);
+        match function.fleet_in_flight > 0.0 && function.mean_run_time > 0.0 {
+            true => from_own_rate.min(function.fleet_in_flight / function.mean_run_time),
+            false => from_own_rate,
         }
     }
 
-    /// Homes in ring order until they carry the rate of all gateways times the run time, plus one.
-    fn homes(&self, f: F) -> usize {
-        let function = &self.functions[f];
-        let at_work = self.fleet_rate(f) * function.run;
-        (at_work / (PLAN * function.lanes.max(1.0))).min(1e4) as usize + 1
+    /// Number of home workers: one more than the requests that run at once need, by Little's law.
+    fn home_count(&self, index: FunctionIndex) -> usize {
+        let function = &self.functions[index];
+        let running = self.fleet_rate(index) * function.mean_run_time;
+        (running / (PLANNED_CONCURRENCY_SHARE * function.concurrency.max(1.0))).min(1e4) as usize + 1
     }
 
-    /// Lanes of the instances known to stand there, as far as they are wanted; of one, if none is known.
-    fn lanes_at(&self, f: F, w: W) -> f64 {
-        let standing = self.functions[f].places.get(&w).map_or(0, |p| p.standing);
-        let many = standing > 1 && self.known_warm(f, w);
-        self.functions[f].lanes * if many { f64::from(standing.min(self.instances(f))) } else { 1.0 }
+    /// Concurrency of the instances known to be loaded there, at most the planned number of them; of one
+    /// instance if none is known.
+    fn concurrency_at(&self, function: FunctionIndex, worker: WorkerIndex) -> f64 {
+        let loaded = self.functions[function]
+            .placements
+            .get(&worker)
+            .map_or(0, |placement| placement.loaded_instances);
+        let several = loaded > 1 && self.known_loaded(function, worker);
+        self.functions[function].concurrency
+            * if several { f64::from(loaded.min(self.instances_per_home(function))) } else { 1.0 }
     }
 
-    /// Where the planned homes are more than the workers in service, each holds its part of the instances.
-    /// All gateways name the same figure, and what stands counts whoever asked: the largest is held, not the
-    /// sum.
-    fn instances(&self, f: F) -> u32 {
-        let workers = (self.fleet.serving as usize).max(1);
-        self.homes(f).div_ceil(workers).clamp(1, self.settings.most_instances.max(1)) as u32
+    /// Instances planned for each home: more than one if more homes are planned than workers are in service.
+    /// All gateways compute the same number, and a worker keeps the largest number ordered, not the sum.
+    fn instances_per_home(&self, function: FunctionIndex) -> u32 {
+        let workers = (self.fleet.in_service as usize).max(1);
+        self.home_count(function).div_ceil(workers).clamp(1, self.settings.most_instances.max(1)) as u32
     }
 
-    /// Asks a home whose lanes are all taken by our requests for the instances that it lacks.
-    fn grow(&mut self, f: F, w: W) {
-        let wanted = self.instances(f);
-        let place = self.functions[f].places.get(&w);
-        let (flying, standing) = place.map_or((0, 0), |p| (p.flying, p.standing.max(1)));
-        let taken = f64::from(flying) >= self.lanes_at(f, w);
-        if wanted > standing && taken && self.now >= self.workers[w].full_until && self.known_warm(f, w) {
-            self.order_gate(w, f, true, wanted);
+    /// Orders the missing instances of a home if our requests use all the concurrency there.
+    fn order_missing_instances(&mut self, function: FunctionIndex, worker: WorkerIndex) {
+        let wanted = self.instances_per_home(function);
+        let placement = self.functions[function].placements.get(&worker);
+        let (in_flight, loaded) =
+            placement.map_or((0, 0), |placement| (placement.in_flight, placement.loaded_instances.max(1)));
+        let saturated = f64::from(in_flight) >= self.concurrency_at(function, worker);
+        if wanted > loaded
+            && saturated
+            && self.now >= self.workers[worker].full_until
+            && self.known_loaded(function, worker)
+        {
+            self.try_order(worker, function, true, wanted);
         }
     }
 
-    /// Fresh evidence of our own, or none against it where peers' calls have mostly kept the function.
-    fn believed_warm(&self, f: F, w: W) -> bool {
-        self.known_warm(f, w)
-            || (!self.lacks(f, w) && self.functions[f].kept * self.peers().powi(2) >= LIKELY)
+    /// Whether an instance is probably loaded: by recent evidence of our own, or, if nothing shows the
+    /// contrary, because calls of peers have usually kept the function loaded.
+    fn believed_loaded(&self, function: FunctionIndex, worker: WorkerIndex) -> bool {
+        self.known_loaded(function, worker)
+            || (!self.known_absent(function, worker)
+                && self.functions[function].peer_loaded_share * self.peer_share().powi(2)
+                    >= MIN_PEER_LOADED_PROBABILITY)
     }
 
-    fn known_warm(&self, f: F, w: W) -> bool {
-        let age = (self.settings.keep_alive as f64 * BELIEF) as Micros;
-        let seen = self.functions[f].places.get(&w).and_then(|p| p.seen);
-        seen.is_some_and(|at| self.now.saturating_sub(at) < age)
+    fn known_loaded(&self, function: FunctionIndex, worker: WorkerIndex) -> bool {
+        let max_age = (self.settings.keep_alive as f64 * KNOWN_LOADED_SHARE) as Micros;
+        let seen_at =
+            self.functions[function].placements.get(&worker).and_then(|placement| placement.loaded_seen_at);
+        seen_at.is_some_and(|at| self.now.saturating_sub(at) < max_age)
     }
 
-    /// Evidence that none stands: a 'miss', or a process younger than our last sight of one.
-    fn lacks(&self, f: F, w: W) -> bool {
-        let place = self.functions[f].places.get(&w);
+    /// Whether evidence shows that no instance is loaded: a miss or a process start within the last
+    /// keep-alive, or no peer that could have loaded one.
+    fn known_absent(&self, function: FunctionIndex, worker: WorkerIndex) -> bool {
+        let placement = self.functions[function].placements.get(&worker);
         let since = self.now.saturating_sub(self.settings.keep_alive);
-        let started = self.workers[w].entry.started.is_some_and(|at| at > since);
-        let missed = place.and_then(|p| p.missed).is_some_and(|at| at > since);
-        !self.known_warm(f, w) && (missed || started || self.settings.gateways == 1)
+        let started = self.workers[worker].list_entry.started.is_some_and(|at| at > since);
+        let missed = placement.and_then(|placement| placement.missed_at).is_some_and(|at| at > since);
+        !self.known_loaded(function, worker) && (missed || started || self.settings.gateways == 1)
     }
 
-    /// The peers' part of all calls.
-    fn peers(&self) -> f64 {
+    /// The peers' share of all calls.
+    fn peer_share(&self) -> f64 {
         1.0 - 1.0 / f64::from(self.settings.gateways)
     }
 
-    /// Worth against the best class, its root so that none starves.
-    fn rank(&self, class: usize) -> f64 {
-        let best = self.settings.classes.iter().map(|c| c.worth).fold(0.0, f64::max);
-        let worth = self.settings.classes.get(class).map_or(0.0, |c| c.worth);
+    /// Worth relative to the best class; the square root keeps classes of low worth from starving.
+    fn class_weight(&self, class: usize) -> f64 {
+        let best = self.settings.classes.iter().map(|class| class.worth).fold(0.0, f64::max);
+        let worth = self.settings.classes.get(class).map_or(0.0, |class| class.worth);
         if best > 0.0 { (worth / best).sqrt() } else { 1.0 }
     }
 
     fn effect(&self, class: usize) -> Effect {
-        self.settings.classes.get(class).map_or(Effect::Unsafe, |c| c.effect)
+        self.settings.classes.get(class).map_or(Effect::Unsafe, |class| class.effect)
     }
 
-    fn run_time(&self, f: F, class: usize) -> f64 {
-        let class = self.means.class_run.get(class).copied().unwrap_or(0.0);
-        let guess = self.aim as f64 / 4.0;
-        [self.functions[f].run, class, self.means.run, guess].into_iter().find(|t| *t > 0.0).unwrap_or(1.0)
+    fn expected_run_time(&self, function: FunctionIndex, class: usize) -> f64 {
+        let class_run_time = self.means.class_run_time.get(class).copied().unwrap_or(0.0);
+        let guess = self.min_objective as f64 / 4.0;
+        [self.functions[function].mean_run_time, class_run_time, self.means.run_time, guess]
+            .into_iter()
+            .find(|time| *time > 0.0)
+            .unwrap_or(1.0)
     }
 
-    fn load_time(&self, function: &Function) -> f64 {
-        let guess = self.aim as f64;
-        [function.load, self.means.load, guess].into_iter().find(|t| *t > 0.0).unwrap_or(guess)
+    fn expected_load_time(&self, function: &Function) -> f64 {
+        let guess = self.min_objective as f64;
+        [function.mean_load_time, self.means.load_time, guess]
+            .into_iter()
+            .find(|time| *time > 0.0)
+            .unwrap_or(guess)
     }
 
-    /// Requests that a cold worker may still be sent in this half window: our part of the multiple of its
-    /// capacity, measured by what a warm worker answers us, so that the parts of all gateways add up to it. A
-    /// part of one is whole by a lot, drawn once for the half window, however many ask; what is left lapses.
-    fn cold_budget(&self, w: W) -> f64 {
-        let (cold, worker, ramp) = (&self.settings.cold, &self.workers[w], &self.workers[w].ramp);
-        let share = worker.capacity(cold, self.now.saturating_sub(cold.window));
+    /// Requests that a cold worker may still get in this half window: our part of the permitted multiple of
+    /// its present capacity. The capacity is estimated from what a warmed-up worker answers this gateway, so
+    /// that the parts of all gateways add up. Fractions are rounded by one random draw for each half window,
+    /// however often the budget is computed; the unused rest expires.
+    fn slow_start_budget(&self, index: WorkerIndex) -> f64 {
+        let (cold, worker, slow_start) =
+            (&self.settings.cold, &self.workers[index], &self.workers[index].slow_start);
+        let share = worker.capacity_share(cold, self.now.saturating_sub(cold.window));
         if share >= 1.0 {
             return 1.0;
         }
-        let half = worker.ramp_half(cold, self.now);
-        let one_core = 1.0 / self.means.run.max(self.aim as f64 / 8.0) / f64::from(self.settings.gateways);
-        let rate = COLD_SPEND * cold.multiple * share * self.means.worker_rate.max(one_core);
-        let lot = xxh3_64_with_seed(&half.to_le_bytes(), ramp.seed) as f64 / u64::MAX as f64;
-        if half == ramp.half { ramp.left } else { (rate * cold.window as f64 / 2.0 + lot).floor() }
+        let half_window = worker.half_window(cold, self.now);
+        let one_core_rate = 1.0
+            / self.means.run_time.max(self.min_objective as f64 / 8.0)
+            / f64::from(self.settings.gateways);
+        let rate = COLD_LOAD_SHARE * cold.multiple * share * self.means.warm_worker_rate.max(one_core_rate);
+        let random_draw =
+            xxh3_64_with_seed(&half_window.to_le_bytes(), slow_start.seed) as f64 / u64::MAX as f64;
+        if half_window == slow_start.half_window {
+            slow_start.remaining
+        } else {
+            (rate * cold.window as f64 / 2.0 + random_draw).floor()
+        }
     }
 
-    /// Whether the rules allow the request another attempt at all; the send gate looks at the worker.
-    fn may_send_again(&self, entry: &Entry) -> bool {
-        let safe = self.effect(entry.request.class) != Effect::Unsafe || entry.never_ran();
-        !entry.over && !entry.streaming && safe
+    /// Whether a request may have another attempt at all; `try_send` checks the worker.
+    fn may_send_again(&self, record: &RequestRecord) -> bool {
+        let safe = self.effect(record.request.class) != Effect::Unsafe || record.never_ran();
+        !record.finished && !record.streaming && safe
     }
 
-    /// The one way out for attempts. It alone keeps: open requests only, attempts counted, one outstanding,
-    /// no draining or gone worker, no effect twice, the cold-start budget.
-    fn send_gate(&mut self, id: &RequestId, w: W) -> bool {
-        let Some(entry) = self.ledger.get(id) else { return false };
-        let (f, class) = (entry.function, entry.request.class);
+    /// The only place that sends attempts. It enforces: unfinished requests only, the number of attempts, one
+    /// attempt in flight, workers in service only, no repeated side effects, the slow-start budget.
+    fn try_send(&mut self, id: &RequestId, index: WorkerIndex) -> bool {
+        let Some(record) = self.requests.get(id) else { return false };
+        let (function, class) = (record.function, record.request.class);
         let effect = self.effect(class);
-        let left = entry.deadline.saturating_sub(self.now);
-        let kept = self.may_send_again(entry)
-            && entry.attempts.len() < self.settings.max_attempts
-            && !entry.out()
-            && self.workers[w].entry.state == WorkerState::In
-            && left > 0
-            && self.same_group(entry, effect, w)
-            && self.cold_budget(w) >= 1.0;
-        if !kept {
+        let time_left = record.deadline.saturating_sub(self.now);
+        let allowed = self.may_send_again(record)
+            && record.attempts.len() < self.settings.max_attempts
+            && !record.has_attempt_in_flight()
+            && self.workers[index].list_entry.state == WorkerState::In
+            && time_left > 0
+            && self.repeats_are_dropped(record, effect, index)
+            && self.slow_start_budget(index) >= 1.0;
+        if !allowed {
             return false;
         }
-        let (warm, known) = (self.believed_warm(f, w), self.known_warm(f, w));
-        let load = if warm { 0.0 } else { self.load_time(&self.functions[f]) };
-        let capacity = self.workers[w].capacity(&self.settings.cold, self.now);
-        let expected = (self.run_time(f, class) + load) / capacity;
-        let aim = self.settings.classes.get(class).map_or(left, |c| c.aim);
-        let repeatable = effect != Effect::Unsafe && entry.attempts.len() + 1 < self.settings.max_attempts;
-        let patience = ((PATIENCE * expected) as Micros).max(aim * 2);
-        let timeout = if repeatable && patience.saturating_add(aim / 4) < left { patience } else { left };
+        let (believed_loaded, known_loaded) =
+            (self.believed_loaded(function, index), self.known_loaded(function, index));
+        let load_time =
+            if believed_loaded { 0.0 } else { self.expected_load_time(&self.functions[function]) };
+        let capacity_share = self.workers[index].capacity_share(&self.settings.cold, self.now);
+        let expected_time = (self.expected_run_time(function, class) + load_time) / capacity_share;
+        let objective = self.settings.classes.get(class).map_or(time_left, |class| class.aim);
+        let repeatable = effect != Effect::Unsafe && record.attempts.len() + 1 < self.settings.max_attempts;
+        let timeout = ((TIMEOUT_MULTIPLE * expected_time) as Micros).max(objective * 2);
+        let timeout =
+            if repeatable && timeout.saturating_add(objective / 4) < time_left { timeout } else { time_left };
 
-        let (homes, left) = (self.homes(f) as f64, self.cold_budget(w) - 1.0);
-        let worker = &mut self.workers[w];
-        (worker.ramp.half, worker.ramp.left) = (worker.ramp_half(&self.settings.cold, self.now), left);
-        worker.flying += 1;
-        worker.functions.insert(f);
-        self.functions[f].places.entry(w).or_default().flying += 1;
-        let crowd = f64::from(worker.flying);
+        let (home_count, remaining) = (self.home_count(function) as f64, self.slow_start_budget(index) - 1.0);
+        let worker = &mut self.workers[index];
+        (worker.slow_start.half_window, worker.slow_start.remaining) =
+            (worker.half_window(&self.settings.cold, self.now), remaining);
+        worker.in_flight += 1;
+        worker.functions.insert(function);
+        self.functions[function].placements.entry(index).or_default().in_flight += 1;
+        let worker_in_flight = f64::from(worker.in_flight);
         let request = id.clone();
-        self.actions.push(Action::Send { request, worker: worker.entry.id.clone(), timeout });
-        let attempt = Attempt { warm, known, homes, expected, crowd, ..Attempt::new(w, self.now) };
-        self.ledger.entry(id.clone()).and_modify(|entry| entry.attempts.push(attempt));
+        self.actions.push(Action::Send { request, worker: worker.list_entry.id.clone(), timeout });
+        let attempt = Attempt {
+            believed_loaded,
+            known_loaded,
+            home_count,
+            expected_time,
+            worker_in_flight,
+            ..Attempt::new(index, self.now)
+        };
+        self.requests.entry(id.clone()).and_modify(|record| record.attempts.push(attempt));
         true
     }
 
-    /// A keyed request that may have run stays among the workers that drop its repeats, while they do.
-    fn same_group(&self, entry: &Entry, effect: Effect, to: W) -> bool {
+    /// Whether a repeat at the worker would be dropped: a keyed request that may have run stays within the
+    /// group of workers that remember its key, for as long as they do.
+    fn repeats_are_dropped(&self, record: &RequestRecord, effect: Effect, to: WorkerIndex) -> bool {
         let Effect::Keyed { group, memory } = effect else { return true };
-        let to = &self.workers[to].entry;
-        entry.attempts.iter().filter(|a| a.fate != Fate::NeverRan).all(|a| {
-            let from = &self.workers[a.worker].entry;
-            let near = match group {
+        let to = &self.workers[to].list_entry;
+        record.attempts.iter().filter(|attempt| attempt.state != AttemptState::NeverRan).all(|attempt| {
+            let from = &self.workers[attempt.worker].list_entry;
+            let same_group = match group {
                 Group::All => true,
                 Group::Zone => from.zone == to.zone,
                 Group::Cell => from.cell == to.cell,
             };
-            near && self.now.saturating_sub(a.sent) + self.settings.tick < memory
+            same_group && self.now.saturating_sub(attempt.sent_at) + self.settings.tick < memory
         })
     }
 
-    fn ended(
+    fn attempt_ended(
         &mut self,
         id: &RequestId,
         number: usize,
         outcome: Outcome,
         elapsed: Micros,
-        (answered, crowd, load_failed): (bool, Option<u32>, bool),
+        (answered, worker_load, load_failed): (bool, Option<u32>, bool),
     ) {
-        let Some(entry) = self.ledger.get_mut(id) else { return };
-        let Some(attempt) = entry.attempts.get_mut(number).filter(|a| a.fate == Fate::Out) else { return };
-        attempt.fate = if outcome.never_ran() { Fate::NeverRan } else { Fate::MayHaveRun };
-        // What failed or never left sends the next attempt elsewhere, a load or a 'miss' need not.
+        let Some(record) = self.requests.get_mut(id) else { return };
+        let Some(attempt) =
+            record.attempts.get_mut(number).filter(|attempt| attempt.state == AttemptState::InFlight)
+        else {
+            return;
+        };
+        attempt.state = if outcome.never_ran() { AttemptState::NeverRan } else { AttemptState::MayHaveRun };
+        // The next attempt goes to another worker if this one failed or was not sent; after a load or a miss
+        // it need not.
         let failed = matches!(outcome, Outcome::Error | Outcome::ConnectFailed | Outcome::Moot);
-        attempt.avoid = failed || (attempt.warm && outcome != Outcome::Miss);
-        let sent = attempt.clone();
-        let (f, class, w) = (entry.function, entry.request.class, sent.worker);
-        if outcome == Outcome::Ok && !entry.over && self.settings.ration.is_some() {
-            // Only a served call earns loads: nobody says that floods count which are taken back at once.
-            let at = self.holds.taken.partition_point(|taken| *taken <= entry.arrived);
-            self.holds.taken.insert(at, entry.arrived);
+        attempt.avoid_worker = failed || (attempt.believed_loaded && outcome != Outcome::Miss);
+        let attempt = attempt.clone();
+        let (function_index, class, worker_index) = (record.function, record.request.class, attempt.worker);
+        if outcome == Outcome::Ok && !record.finished && self.settings.ration.is_some() {
+            // Only served calls raise the order budget: nothing states that calls count which their clients
+            // cancel at once, and there may be floods of those.
+            let at = self.orders.call_times.partition_point(|arrived_at| *arrived_at <= record.arrived_at);
+            self.orders.call_times.insert(at, record.arrived_at);
         }
-        let took = elapsed as f64;
-        self.workers[w].flying = self.workers[w].flying.saturating_sub(1);
-        if let (Some(held), Outcome::Ok | Outcome::Full) = (crowd, outcome) {
-            let crowd = &mut self.functions[f].crowd;
-            blend(crowd, (f64::from(held) * sent.homes).max(1e-9), 2.0 * BLEND);
+        let response_time = elapsed as f64;
+        self.workers[worker_index].in_flight = self.workers[worker_index].in_flight.saturating_sub(1);
+        if let (Some(worker_load), Outcome::Ok | Outcome::Full) = (worker_load, outcome) {
+            let fleet_in_flight = &mut self.functions[function_index].fleet_in_flight;
+            update_mean(
+                fleet_in_flight,
+                (f64::from(worker_load) * attempt.home_count).max(1e-9),
+                2.0 * MEAN_WEIGHT,
+            );
         }
-        let slow = took > self.run_time(f, class) + self.load_time(&self.functions[f]) / 2.0;
-        let function = &mut self.functions[f];
-        self.holds.wanted.touch(f, function.forecast.release_at);
-        function.served |= outcome == Outcome::Ok;
-        let served = function.served;
-        let place = function.places.entry(w).or_default();
-        place.flying = place.flying.saturating_sub(1);
+        let slow = response_time
+            > self.expected_run_time(function_index, class)
+                + self.expected_load_time(&self.functions[function_index]) / 2.0;
+        let function = &mut self.functions[function_index];
+        self.orders.prewarms.function_changing(function_index, function.forecast.release_at);
+        function.ever_succeeded |= outcome == Outcome::Ok;
+        let ever_succeeded = function.ever_succeeded;
+        let placement = function.placements.entry(worker_index).or_default();
+        placement.in_flight = placement.in_flight.saturating_sub(1);
         match outcome {
             Outcome::Ok => {
-                (place.seen, place.missed) = (Some(self.now), None);
-                let worker = &mut self.workers[w];
-                let since = self.now.saturating_sub(worker.last_ok) as f64;
-                worker.last_ok = self.now;
-                worker.health.get_mut(class).into_iter().for_each(|health| health.ok(self.now));
-                self.means.served +=
-                    f64::from(u8::from(worker.capacity(&self.settings.cold, self.now) >= 1.0));
-                if sent.warm {
-                    // Samples far apart count for more: the old ones have aged.
-                    let weight = BLEND.max(since / (since + 2.0 * self.settings.keep_alive as f64));
-                    // A wait for a load is many aims long, and says less of a queue than ten answers in time.
-                    blend(&mut worker.answer_time, took.min(self.aim as f64), weight);
-                    blend(&mut worker.crowd, sent.crowd, weight);
-                    // Where workers load on call, answers hold waits for loads: those count only until an
-                    // instance that we had seen has told the run time.
-                    let function = &mut self.functions[f];
-                    let loads = self.settings.when_absent == WhenAbsent::Load;
-                    if loads && sent.known && !std::mem::replace(&mut function.timed, true) {
-                        function.run = 0.0;
+                (placement.loaded_seen_at, placement.missed_at) = (Some(self.now), None);
+                let worker = &mut self.workers[worker_index];
+                let since_success = self.now.saturating_sub(worker.last_success_at) as f64;
+                worker.last_success_at = self.now;
+                worker.health.get_mut(class).into_iter().for_each(|health| health.record_success(self.now));
+                self.means.warm_successes +=
+                    f64::from(u8::from(worker.capacity_share(&self.settings.cold, self.now) >= 1.0));
+                if attempt.believed_loaded {
+                    // The longer ago the last sample, the more outdated is the mean.
+                    let weight = MEAN_WEIGHT
+                        .max(since_success / (since_success + 2.0 * self.settings.keep_alive as f64));
+                    // Response times are capped at the objective: one wait for a load takes many objectives,
+                    // but says less about the queue than ten answers in time.
+                    update_mean(
+                        &mut worker.mean_response_time,
+                        response_time.min(self.min_objective as f64),
+                        weight,
+                    );
+                    update_mean(&mut worker.mean_in_flight, attempt.worker_in_flight, weight);
+                    // Where workers load on a call, response times may include a load. Slow ones count only
+                    // until an instance that was known to be loaded has shown the run time.
+                    let function = &mut self.functions[function_index];
+                    let loads_on_call = self.settings.when_absent == WhenAbsent::Load;
+                    if loads_on_call
+                        && attempt.known_loaded
+                        && !std::mem::replace(&mut function.run_time_confirmed, true)
+                    {
+                        function.mean_run_time = 0.0;
                     }
-                    if sent.known || !slow || !function.timed {
-                        blend(&mut function.run, took, BLEND);
+                    if attempt.known_loaded || !slow || !function.run_time_confirmed {
+                        update_mean(&mut function.mean_run_time, response_time, MEAN_WEIGHT);
                     }
-                    blend(&mut self.means.run, took, BLEND);
-                    let class_run = self.means.class_run.get_mut(class);
-                    class_run.into_iter().for_each(|mean| blend(mean, took, BLEND));
+                    update_mean(&mut self.means.run_time, response_time, MEAN_WEIGHT);
+                    let class_run_time = self.means.class_run_time.get_mut(class);
+                    class_run_time.into_iter().for_each(|mean| update_mean(mean, response_time, MEAN_WEIGHT));
                 }
             }
-            // A function that no worker has answered yet may be no function at all.
-            Outcome::Error if !load_failed && served => self.blame(w, class, sent.sent, 1.0),
-            Outcome::Timeout if took >= sent.expected => {
-                if sent.warm && !sent.known {
-                    // Peers keep an instance there, so it was a queue, and would have taken longer still.
-                    blend(&mut self.workers[w].answer_time, took.min(self.aim as f64), BLEND);
+            // Until a call of it has succeeded, the function itself may be broken or missing.
+            Outcome::Error if !load_failed && ever_succeeded => {
+                self.record_worker_failure(worker_index, class, attempt.sent_at, 1.0)
+            }
+            Outcome::Timeout if response_time >= attempt.expected_time => {
+                if attempt.believed_loaded && !attempt.known_loaded {
+                    // Peers keep an instance loaded there, so the call was queued, and for longer than this.
+                    update_mean(
+                        &mut self.workers[worker_index].mean_response_time,
+                        response_time.min(self.min_objective as f64),
+                        MEAN_WEIGHT,
+                    );
                 }
-                // A late answer is the worker's fault only if it answered none of the class since.
-                if self.workers[w].health.get(class).is_some_and(|h| h.last_ok <= sent.sent) {
-                    self.blame(w, class, sent.sent, SUSPECT);
+                // The worker is at fault only if it has answered no call of the class since then.
+                if self.workers[worker_index]
+                    .health
+                    .get(class)
+                    .is_some_and(|health| health.last_success_at <= attempt.sent_at)
+                {
+                    self.record_worker_failure(worker_index, class, attempt.sent_at, SUSPECT_SCORE);
                 }
             }
-            // One connection broke; a worker that answers on others is there.
-            Outcome::Reset if self.workers[w].last_ok <= sent.sent => self.blame(w, class, sent.sent, 1.0),
+            // Only one connection broke if the worker has answered on others since.
+            Outcome::Reset if self.workers[worker_index].last_success_at <= attempt.sent_at => {
+                self.record_worker_failure(worker_index, class, attempt.sent_at, 1.0)
+            }
             Outcome::ConnectFailed => {
-                self.forget(w);
-                self.blame(w, class, sent.sent, SUSPECT);
+                self.clear_placements(worker_index);
+                self.record_worker_failure(worker_index, class, attempt.sent_at, SUSPECT_SCORE);
             }
-            // With an instance there its queue is full, without one it lacks the room to load.
-            Outcome::Full if !sent.known => {
-                place.no_room = self.now.saturating_add(sent.expected as Micros);
+            // Without an instance known to be loaded, the worker lacks the capacity to load one; with one,
+            // only its queue is full.
+            Outcome::Full if !attempt.known_loaded => {
+                placement.no_capacity_until = self.now.saturating_add(attempt.expected_time as Micros);
             }
             Outcome::Miss => {
-                (place.seen, place.standing, place.missed) = (None, 0, Some(self.now));
+                (placement.loaded_seen_at, placement.loaded_instances, placement.missed_at) =
+                    (None, 0, Some(self.now));
             }
             _ => {}
         }
-        if !sent.known && matches!(outcome, Outcome::Ok | Outcome::Miss) {
-            // Whether peers' calls kept an instance.
-            let stood = f64::from(u8::from(outcome == Outcome::Ok && !slow));
-            self.functions[f].kept += 3.0 * BLEND * (stood - self.functions[f].kept);
-            self.means.kept += BLEND * (stood - self.means.kept);
+        if !attempt.known_loaded && matches!(outcome, Outcome::Ok | Outcome::Miss) {
+            // A quick answer shows that calls of peers had kept an instance loaded.
+            let was_loaded = f64::from(u8::from(outcome == Outcome::Ok && !slow));
+            self.functions[function_index].peer_loaded_share +=
+                3.0 * MEAN_WEIGHT * (was_loaded - self.functions[function_index].peer_loaded_share);
+            self.means.peer_loaded_share += MEAN_WEIGHT * (was_loaded - self.means.peer_loaded_share);
         }
-        if answered || self.ledger.get(id).is_none_or(|e| e.over || e.streaming) {
-            return self.close(id);
+        if answered || self.requests.get(id).is_none_or(|record| record.finished || record.streaming) {
+            return self.finish(id);
         }
-        let costs = sent.fate == Fate::MayHaveRun;
-        let doubtful = outcome == Outcome::Error && !served && number > 0;
-        if costs && (self.retries < 1.0 || doubtful) {
-            return self.answer(id);
+        let needs_retry_token = attempt.state == AttemptState::MayHaveRun;
+        let function_may_be_broken = outcome == Outcome::Error && !ever_succeeded && number > 0;
+        if needs_retry_token && (self.retry_tokens < 1.0 || function_may_be_broken) {
+            return self.refuse_or_fail(id);
         }
-        self.retries -= f64::from(u8::from(costs));
+        self.retry_tokens -= f64::from(u8::from(needs_retry_token));
         self.dispatch(id);
     }
 
-    /// A failure counts against the worker for its class. One that says that nothing is there counts as one
-    /// of two for the other classes as well, unless the worker has answered any call since.
-    fn blame(&mut self, w: W, class: usize, sent: Micros, score: f64) {
-        let rest = (self.settings.keep_alive as f64 * REST).max(self.aim as f64);
-        let worker = &mut self.workers[w];
-        let nothing_there = score >= SUSPECT && worker.last_ok <= sent;
+    /// Records a failure against the worker for a class. If it suggests that the worker is gone, and the
+    /// worker has answered no call since the attempt was sent, it also counts as one failure for each other
+    /// class.
+    fn record_worker_failure(&mut self, worker: WorkerIndex, class: usize, sent_at: Micros, score: f64) {
+        let exclusion = (self.settings.keep_alive as f64 * EXCLUSION_SHARE).max(self.min_objective as f64);
+        let worker = &mut self.workers[worker];
+        let seems_gone = score >= SUSPECT_SCORE && worker.last_success_at <= sent_at;
         for (other, health) in worker.health.iter_mut().enumerate() {
-            if other == class || nothing_there {
+            if other == class || seems_gone {
                 let score = if other == class { score } else { score.min(1.0) };
-                health.fail(self.now, score, rest);
+                health.record_failure(self.now, score, exclusion);
             }
         }
     }
 
-    /// The gateway's own final answer: a refusal where that promise holds, else a failure.
-    fn answer(&mut self, id: &RequestId) {
-        let Some(entry) = self.ledger.get(id).filter(|e| !e.over && !e.streaming) else { return };
-        let refusable = match self.effect(entry.request.class) {
+    /// Answers a request without a worker: refused if a further try does no harm, else failed.
+    fn refuse_or_fail(&mut self, id: &RequestId) {
+        let Some(record) = self.requests.get(id).filter(|record| !record.finished && !record.streaming)
+        else {
+            return;
+        };
+        let may_retry = match self.effect(record.request.class) {
             Effect::Safe | Effect::Keyed { group: Group::All, .. } => true,
-            _ => entry.never_ran(),
+            _ => record.never_ran(),
         };
-        // Soon, as a later try is worth little; those refused together don't come back together.
-        let wait = self.aim as f64 / 4.0 * (0.5 + entry.lot);
-        let wait = (wait as Micros).clamp(1, self.settings.max_retry_after.max(1));
+        // Short, as a later try is worth little; random, so that clients don't all return at once.
+        let retry_after = self.min_objective as f64 / 4.0 * (0.5 + record.random_draw);
+        let retry_after = (retry_after as Micros).clamp(1, self.settings.max_retry_after.max(1));
         let request = id.clone();
-        let retry_after = self.settings.retry_after.then_some(wait);
-        let refuse = Action::Refuse { request: request.clone(), retry_after };
-        self.actions.push(if refusable { refuse } else { Action::Fail { request } });
-        self.close(id);
+        let retry_after = self.settings.retry_after.then_some(retry_after);
+        let refusal = Action::Refuse { request: request.clone(), retry_after };
+        self.actions.push(if may_retry { refusal } else { Action::Fail { request } });
+        self.finish(id);
     }
 
-    /// The request is over; its entry goes once no attempt is out.
-    fn close(&mut self, id: &RequestId) {
-        let Some(entry) = self.ledger.get_mut(id) else { return };
-        entry.over = true;
-        self.timers.remove(&(entry.deadline, Timer::Deadline(id.clone())));
-        let f = entry.function;
-        self.functions[f].waiting.remove(&(entry.deadline, id.clone()));
-        if !entry.out() {
-            self.ledger.remove(id);
+    /// Marks a request as finished; its record is removed once no attempt is in flight.
+    fn finish(&mut self, id: &RequestId) {
+        let Some(record) = self.requests.get_mut(id) else { return };
+        record.finished = true;
+        self.timers.remove(&(record.deadline, Timer::Deadline(id.clone())));
+        let function = record.function;
+        self.functions[function].waiting.remove(&(record.deadline, id.clone()));
+        if !record.has_attempt_in_flight() {
+            self.requests.remove(id);
         }
     }
 
-    /// The load or the release timer of a function.
-    fn forecast_due(&mut self, f: F) {
-        let fit = |w: &W| {
-            self.has_room(f, *w) && self.workers[*w].health.iter().all(|h| h.view(self.now) != View::Bad)
+    /// Loads or renews an instance at the function's home, or releases it once the forecast has ended.
+    fn forecast_due(&mut self, index: FunctionIndex) {
+        let usable = |worker: &WorkerIndex| {
+            self.has_capacity(index, *worker)
+                && self.workers[*worker]
+                    .health
+                    .iter()
+                    .all(|health| health.state(self.now) != HealthState::Excluded)
         };
-        let home = self.ring_of(f).find(fit);
-        let kept = home.is_some_and(|w| !self.known_warm(f, w) && self.believed_warm(f, w));
-        let function = &mut self.functions[f];
+        let home = self.workers_in_ring_order(index).find(usable);
+        let kept_by_peers = home
+            .is_some_and(|worker| !self.known_loaded(index, worker) && self.believed_loaded(index, worker));
+        let function = &mut self.functions[index];
         let (load_at, release_at) = (function.forecast.load_at, function.forecast.release_at);
-        function.timer = self.now < release_at;
-        if !function.timer {
-            self.holds.wanted.touch(f, release_at);
-            if let Some((w, at)) = function.loaded_by_us.take()
-                && function.last_call < at
-                && self.workers[w].entry.state == WorkerState::In
+        function.forecast_timer_set = self.now < release_at;
+        if !function.forecast_timer_set {
+            self.orders.prewarms.function_changing(index, release_at);
+            if let Some((worker, loaded_at)) = function.loaded_by_own_order.take()
+                && function.last_call_at < loaded_at
+                && self.workers[worker].list_entry.state == WorkerState::In
             {
-                function.places.entry(w).or_default().seen = None;
-                let (worker, function) = (self.workers[w].entry.id.clone(), function.name.clone());
+                function.placements.entry(worker).or_default().loaded_seen_at = None;
+                let (worker, function) = (self.workers[worker].list_entry.id.clone(), function.name.clone());
                 self.actions.push(Action::Drop { worker, function });
             }
             return;
         }
-        let renewal = ((self.settings.keep_alive as f64 * RENEW) as Micros).max(self.settings.tick);
-        let seen = home.and_then(|w| function.places.get(&w)).and_then(|p| p.seen);
-        let mut next = load_at.max(seen.map_or(0, |at| at + renewal));
+        let renewal_time =
+            ((self.settings.keep_alive as f64 * RENEWAL_SHARE) as Micros).max(self.settings.tick);
+        let seen_at = home
+            .and_then(|worker| function.placements.get(&worker))
+            .and_then(|placement| placement.loaded_seen_at);
+        let mut next = load_at.max(seen_at.map_or(0, |at| at + renewal_time));
         if next <= self.now {
-            next = self.now + renewal / 4;
-            // Peers' calls renew it as well as our order would.
-            let wants = home.filter(|_| !kept && self.settings.may_order);
-            wants.into_iter().for_each(|home| self.holds.wanted.add((f, home)));
-            self.pump();
+            next = self.now + renewal_time / 4;
+            // Calls of peers renew the instance as well as an order would.
+            let wanted_at = home.filter(|_| !kept_by_peers && self.settings.may_order);
+            wanted_at.into_iter().for_each(|home| self.orders.prewarms.add((index, home)));
+            self.order_prewarms();
         }
         let next = next.min(release_at).max(self.now + self.settings.tick);
-        self.timers.insert((next, Timer::Forecast(f)));
+        self.timers.insert((next, Timer::Forecast(index)));
     }
 
-    /// Gives the wanted pre-loads to the gate, those that save most load time for their memory first, as far
-    /// as budgets go. Besides, only those are looked at of which something has changed.
-    fn pump(&mut self) {
-        for want in self.holds.wanted.take_changed(self.now) {
-            self.look_at(want, false);
+    /// Reviews the prewarms of which something has changed, then orders prewarms by priority as long as the
+    /// budgets allow it.
+    fn order_prewarms(&mut self) {
+        for prewarm in self.orders.prewarms.take_changed(self.now) {
+            self.review_prewarm(prewarm, false);
         }
-        while self.affords(false) {
-            let worth = |f: F| self.worth(f, self.load_time(&self.functions[f]));
-            let by_worth = |a: &(F, W), b: &(F, W)| worth(b.0).total_cmp(&worth(a.0)).then_with(|| a.cmp(b));
-            let Some(want) = self.holds.wanted.first().min_by(by_worth) else { return };
-            self.look_at(want, true);
+        while self.order_budget_allows(false) {
+            let priority = |function: FunctionIndex| {
+                self.prewarm_priority(function, self.expected_load_time(&self.functions[function]))
+            };
+            let by_priority = |a: &(FunctionIndex, WorkerIndex), b: &(FunctionIndex, WorkerIndex)| {
+                priority(b.0).total_cmp(&priority(a.0)).then_with(|| a.cmp(b))
+            };
+            let Some(prewarm) = self.orders.prewarms.highest_ranked().min_by(by_priority) else { return };
+            self.review_prewarm(prewarm, true);
         }
     }
 
-    /// Orders a wanted pre-load if it is offered, else ranks it; drops it where it is wanted no more.
-    fn look_at(&mut self, (f, w): (F, W), offered: bool) {
-        let function = &self.functions[f];
-        let place = function.places.get(&w);
-        let fresh = (self.settings.keep_alive as f64 * RENEW) as Micros;
-        let stands = place.and_then(|p| p.seen).is_some_and(|at| at + fresh > self.now);
-        let asked = offered || place.is_some_and(|p| p.ordered.is_some());
-        let over = stands || self.now >= function.forecast.release_at;
-        if over || (asked && self.order_gate(w, f, false, 1)) {
-            self.holds.wanted.remove((f, w));
-        } else if asked {
-            // The worker takes none now.
-            self.holds.wanted.put_aside((f, w), self.workers[w].closed_until());
+    /// Removes a prewarm that is no longer wanted. Otherwise orders it if `order` is set or an order is
+    /// already in flight, and defers it if that fails; else updates its priority.
+    fn review_prewarm(&mut self, (index, worker): (FunctionIndex, WorkerIndex), order: bool) {
+        let function = &self.functions[index];
+        let placement = function.placements.get(&worker);
+        let renewal_time = (self.settings.keep_alive as f64 * RENEWAL_SHARE) as Micros;
+        let loaded = placement
+            .and_then(|placement| placement.loaded_seen_at)
+            .is_some_and(|at| at + renewal_time > self.now);
+        let order = order || placement.is_some_and(|placement| placement.ordered_at.is_some());
+        let unwanted = loaded || self.now >= function.forecast.release_at;
+        if unwanted || (order && self.try_order(worker, index, false, 1)) {
+            self.orders.prewarms.remove((index, worker));
+        } else if order {
+            self.orders.prewarms.defer((index, worker), self.workers[worker].no_prewarm_until());
         } else {
-            let own = self.functions[f].load;
-            let (scale, load) = if own > 0.0 { (Scale::OwnLoad, own) } else { (Scale::CommonLoad, 1.0) };
-            self.holds.wanted.rank((f, w), scale, self.worth(f, load));
+            let own = self.functions[index].mean_load_time;
+            let (source, load_time) =
+                if own > 0.0 { (LoadTimeSource::Function, own) } else { (LoadTimeSource::Shared, 1.0) };
+            self.orders.prewarms.rank((index, worker), source, self.prewarm_priority(index, load_time));
         }
     }
 
-    /// Load time that holding an instance saves, for its memory.
-    fn worth(&self, f: F, load: f64) -> f64 {
-        let function = &self.functions[f];
-        function.forecast.rate() * self.settings.keep_alive as f64 * load / function.memory.max(1.0)
+    /// Load time saved by keeping an instance loaded, for each MB of its memory.
+    fn prewarm_priority(&self, function: FunctionIndex, load_time: f64) -> f64 {
+        let function = &self.functions[function];
+        function.forecast.rate() * self.settings.keep_alive as f64 * load_time / function.memory_mb.max(1.0)
     }
 
-    /// Whether the budgets allow one more order.
-    fn affords(&mut self, needed: bool) -> bool {
-        let holds = &mut self.holds;
-        if !needed && holds.tokens < 1.0 {
+    /// Whether the budgets allow one more order. One that a waiting request needs takes no prewarm token.
+    fn order_budget_allows(&mut self, needed: bool) -> bool {
+        let orders = &mut self.orders;
+        if !needed && orders.prewarm_tokens < 1.0 {
             return false;
         }
-        let Some(ration) = &self.settings.ration else { return true };
-        // An order may wait for its connection: orders are remembered that much and a tick longer,
-        // and calls shorter, so that it is within the ration whenever it leaves.
-        let late = self.settings.tick + self.settings.connect_timeout;
-        holds.forget_before(self.now, ration.window, late);
-        (holds.given.len() + 1) as f64 <= ration.free + ration.per_request * holds.taken.len() as f64
+        let Some(budget) = &self.settings.ration else { return true };
+        // An order may wait for its connection. Orders therefore count for that time and a tick longer than
+        // the window, and calls for less, so that the budget holds whenever the order leaves.
+        let margin = self.settings.tick + self.settings.connect_timeout;
+        orders.forget_before(self.now, budget.window, margin);
+        (orders.order_times.len() + 1) as f64
+            <= budget.free + budget.per_request * orders.call_times.len() as f64
     }
-    /// The one way out for load orders; true when one is under way. It alone keeps: no draining or gone
-    /// worker, one order a function and worker, the caps on pre-loads, the ration.
-    fn order_gate(&mut self, w: W, f: F, needed: bool, count: u32) -> bool {
-        let worker = &self.workers[w];
-        if !self.settings.may_order || worker.entry.state != WorkerState::In {
+
+    /// The only place that sends load orders; true if one is now in flight. It enforces: workers in service
+    /// only, one order in flight for a function and worker, the limit on prewarm orders, the order budget.
+    fn try_order(&mut self, worker: WorkerIndex, function: FunctionIndex, needed: bool, count: u32) -> bool {
+        let worker_record = &self.workers[worker];
+        if !self.settings.may_order || worker_record.list_entry.state != WorkerState::In {
             return false;
         }
-        // Where needed loads find no room, one for later takes the place of one for now; renewals take none.
-        if !needed && self.now < worker.full_until && !self.known_warm(f, w) {
+        // At a worker without capacity, a prewarm would displace a load that is needed now, but a renewal
+        // not.
+        if !needed && self.now < worker_record.full_until && !self.known_loaded(function, worker) {
             return false;
         }
-        if self.functions[f].places.get(&w).is_some_and(|p| p.ordered.is_some()) {
+        if self.functions[function]
+            .placements
+            .get(&worker)
+            .is_some_and(|placement| placement.ordered_at.is_some())
+        {
             return true;
         }
-        if !self.affords(needed) {
+        if !self.order_budget_allows(needed) {
             return false;
         }
         if !needed {
-            self.holds.tokens -= 1.0;
+            self.orders.prewarm_tokens -= 1.0;
         }
         if self.settings.ration.is_some() {
-            self.holds.given.push_back(self.now);
+            self.orders.order_times.push_back(self.now);
         }
-        let (function, worker) = (&mut self.functions[f], &mut self.workers[w]);
-        self.holds.wanted.touch(f, function.forecast.release_at);
-        worker.functions.insert(f);
-        function.places.entry(w).or_default().ordered = Some(self.now);
-        let (worker, function) = (worker.entry.id.clone(), function.name.clone());
+        let (function_record, worker_record) = (&mut self.functions[function], &mut self.workers[worker]);
+        self.orders.prewarms.function_changing(function, function_record.forecast.release_at);
+        worker_record.functions.insert(function);
+        function_record.placements.entry(worker).or_default().ordered_at = Some(self.now);
+        let (worker, function) = (worker_record.list_entry.id.clone(), function_record.name.clone());
         self.actions.push(Action::Hold { worker, function, count });
         true
     }
 
-    fn held(&mut self, to: &WorkerId, name: &FunctionId, outcome: Outcome, elapsed: Micros, standing: u32) {
-        let (Some(&w), Some(&f)) = (self.worker_ids.get(to), self.function_ids.get(name)) else { return };
-        let function = &mut self.functions[f];
-        self.holds.wanted.touch(f, function.forecast.release_at);
-        let place = function.places.entry(w).or_default();
-        let Some(since) = place.ordered.take() else { return };
-        let took = elapsed as f64;
-        let orders = self.settings.classes.len();
+    /// A load order ended; `loaded` is the number of instances that are loaded now.
+    fn load_ended(&mut self, id: &WorkerId, name: &FunctionId, outcome: Outcome, took: Micros, loaded: u32) {
+        let (Some(&worker_index), Some(&function_index)) =
+            (self.worker_indices.get(id), self.function_indices.get(name))
+        else {
+            return;
+        };
+        let function = &mut self.functions[function_index];
+        self.orders.prewarms.function_changing(function_index, function.forecast.release_at);
+        let placement = function.placements.entry(worker_index).or_default();
+        let Some(ordered_at) = placement.ordered_at.take() else { return };
+        let response_time = took as f64;
+        let order_class = self.settings.classes.len();
         match outcome {
-            Outcome::Ok if standing > 0 => {
-                (place.seen, place.missed, place.no_room) = (Some(self.now), None, 0);
-                place.standing = standing;
-                self.workers[w].health.last_mut().into_iter().for_each(|health| health.ok(self.now));
-                // Longer than a round trip: it was loaded for us.
-                if took > (self.aim / SWEEPS) as f64 {
-                    blend(&mut function.load, took, BLEND);
-                    blend(&mut self.means.load, took, BLEND);
-                    function.loaded_by_us = Some((w, self.now));
+            Outcome::Ok if loaded > 0 => {
+                (placement.loaded_seen_at, placement.missed_at, placement.no_capacity_until) =
+                    (Some(self.now), None, 0);
+                placement.loaded_instances = loaded;
+                self.workers[worker_index]
+                    .health
+                    .last_mut()
+                    .into_iter()
+                    .for_each(|health| health.record_success(self.now));
+                // It took longer than a round trip: the worker loaded the instance for this order.
+                if response_time > (self.min_objective / SWEEPS_PER_OBJECTIVE) as f64 {
+                    update_mean(&mut function.mean_load_time, response_time, MEAN_WEIGHT);
+                    update_mean(&mut self.means.load_time, response_time, MEAN_WEIGHT);
+                    function.loaded_by_own_order = Some((worker_index, self.now));
                 }
             }
             Outcome::Full => {
-                self.workers[w].full_until = self.now + self.aim * 2;
-                place.standing = standing;
-                // No room for more is no word against those that stand.
-                if standing == 0 {
-                    (place.seen, place.no_room) = (None, self.workers[w].full_until);
+                self.workers[worker_index].full_until = self.now + self.min_objective * 2;
+                placement.loaded_instances = loaded;
+                // A lack of capacity for more says nothing against the instances that are loaded.
+                if loaded == 0 {
+                    (placement.loaded_seen_at, placement.no_capacity_until) =
+                        (None, self.workers[worker_index].full_until);
                 }
             }
-            // What fails at once would be ordered again and again, as often as the answer comes.
-            Outcome::Error => place.no_room = self.now + self.aim * 2,
+            // Without a pause, an order that fails at once would be repeated at the rate of its answers.
+            Outcome::Error => placement.no_capacity_until = self.now + self.min_objective * 2,
             Outcome::ConnectFailed => {
-                self.forget(w);
-                self.functions[f].places.entry(w).or_default().no_room = self.now + self.aim * 2;
-                self.blame(w, orders, since, SUSPECT);
+                self.clear_placements(worker_index);
+                self.functions[function_index]
+                    .placements
+                    .entry(worker_index)
+                    .or_default()
+                    .no_capacity_until = self.now + self.min_objective * 2;
+                self.record_worker_failure(worker_index, order_class, ordered_at, SUSPECT_SCORE);
             }
-            Outcome::Reset | Outcome::Timeout if self.workers[w].last_ok <= since => {
-                self.blame(w, orders, since, 1.0);
+            Outcome::Reset | Outcome::Timeout if self.workers[worker_index].last_success_at <= ordered_at => {
+                self.record_worker_failure(worker_index, order_class, ordered_at, 1.0);
             }
             _ => {}
         }
-        self.place_waiting(f);
+        self.dispatch_waiting(function_index);
     }
 
     fn sweep(&mut self) {
-        let step = (self.aim / SWEEPS).max(self.settings.tick);
-        self.timers.insert((self.now + step, Timer::Sweep));
-        if self.now.saturating_sub(self.swept) >= self.aim {
-            // What a warm worker answers us a microsecond, over a warm-up time: the measure for cold ones.
-            let span = self.now.saturating_sub(std::mem::replace(&mut self.swept, self.now)) as f64;
-            let sample = std::mem::take(&mut self.means.served) / span / self.fleet.warm.max(1.0);
+        let interval = (self.min_objective / SWEEPS_PER_OBJECTIVE).max(self.settings.tick);
+        self.timers.insert((self.now + interval, Timer::Sweep));
+        if self.now.saturating_sub(self.refreshed_at) >= self.min_objective {
+            // The rate at which a warmed-up worker answers this gateway, averaged over about a warm-up time;
+            // the slow-start budgets of cold workers derive from it.
+            let span = self.now.saturating_sub(std::mem::replace(&mut self.refreshed_at, self.now)) as f64;
+            let sample =
+                std::mem::take(&mut self.means.warm_successes) / span / self.fleet.warmed_up.max(1.0);
             let weight = span / (self.settings.cold.warm_up as f64 + span);
-            self.means.worker_rate += (sample - self.means.worker_rate) * weight;
-            self.forget_the_gone();
-            self.count();
+            self.means.warm_worker_rate += (sample - self.means.warm_worker_rate) * weight;
+            self.forget_unused();
+            self.update_fleet();
         }
-        self.pump();
-        self.rescue_waiting();
+        self.order_prewarms();
+        self.dispatch_all_waiting();
     }
 
-    /// Looks again for a place for the requests that wait at the gateway.
-    fn rescue_waiting(&mut self) {
-        for f in std::mem::take(&mut self.waiting) {
-            self.place_waiting(f);
+    /// Tries again to dispatch the requests that wait at the gateway.
+    fn dispatch_all_waiting(&mut self) {
+        for function in std::mem::take(&mut self.functions_waiting) {
+            self.dispatch_waiting(function);
         }
     }
 
-    /// Oldest first, until one finds no place. One that could no longer be answered within its aim is turned
-    /// away while it waits for a free worker: under overload its place is worth more to the next.
-    fn place_waiting(&mut self, f: F) {
-        if self.functions[f].waiting.is_empty() {
+    /// Dispatches a function's waiting requests in order of their deadlines until one has to wait. Those that
+    /// can no longer meet their latency objective are then refused, unless they wait for a load: under
+    /// overload, the capacity is worth more to later requests.
+    fn dispatch_waiting(&mut self, function: FunctionIndex) {
+        if self.functions[function].waiting.is_empty() {
             return;
         }
-        let loading = self.functions[f].places.values().any(|p| p.ordered.is_some());
-        let mut open = true;
-        for (deadline, id) in self.functions[f].waiting.clone() {
-            let class_aim = |e: &Entry| self.settings.classes.get(e.request.class).map_or(0, |c| c.aim);
-            let aim = self.ledger.get(&id).map_or(0, |e| e.arrived.saturating_add(class_aim(e)));
-            if open {
+        let loading =
+            self.functions[function].placements.values().any(|placement| placement.ordered_at.is_some());
+        let mut dispatching = true;
+        for (deadline, id) in self.functions[function].waiting.clone() {
+            let objective = |record: &RequestRecord| {
+                self.settings.classes.get(record.request.class).map_or(0, |class| class.aim)
+            };
+            let due_at = self
+                .requests
+                .get(&id)
+                .map_or(0, |record| record.arrived_at.saturating_add(objective(record)));
+            if dispatching {
                 self.dispatch(&id);
-                open = !self.functions[f].waiting.contains(&(deadline, id.clone()));
+                dispatching = !self.functions[function].waiting.contains(&(deadline, id.clone()));
             }
-            if !open && !loading && self.now.saturating_add(self.means.run as Micros) > aim {
-                self.answer(&id);
+            if !dispatching && !loading && self.now.saturating_add(self.means.run_time as Micros) > due_at {
+                self.refuse_or_fail(&id);
             }
         }
     }
 }
 
-/// One of the lightest, at random.
-fn fewest(rng: &mut Pcg32, weighed: &[(f64, W)]) -> Option<W> {
-    let least = weighed.iter().map(|(weight, _)| *weight).fold(f64::INFINITY, f64::min);
-    let ties: Vec<W> = weighed.iter().filter(|(weight, _)| *weight <= least).map(|(_, w)| *w).collect();
+/// The worker with the lowest load; a random one among equals.
+fn pick_least_loaded(rng: &mut Pcg32, candidates: &[(f64, WorkerIndex)]) -> Option<WorkerIndex> {
+    let lowest = candidates.iter().map(|(load, _)| *load).fold(f64::INFINITY, f64::min);
+    let ties: Vec<WorkerIndex> =
+        candidates.iter().filter(|(load, _)| *load <= lowest).map(|(_, worker)| *worker).collect();
     let pick = if ties.len() > 1 { rng.next_u32() as usize % ties.len() } else { 0 };
     ties.get(pick).copied()
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,272 +1,295 @@
-//! The records that the decision module keeps. Nothing here decides anything: no figures, no choices.
+//! The records that the dispatcher keeps. They hold data only: decisions and tuning constants are in
+//! `rules.rs`.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use crate::interface::*;
-use crate::wanted::Wanted;
+use crate::wanted::PrewarmQueue;
 
-/// Positions of workers and functions in the module's tables: small, and given anew only once nothing refers to them.
-pub type W = usize;
-pub type F = usize;
+/// Positions in the dispatcher's tables of workers and functions. They stay small: a position is reused once
+/// nothing refers to it any more.
+pub type WorkerIndex = usize;
+pub type FunctionIndex = usize;
 
 /// What is known of a function.
 #[derive(Debug, Default)]
 pub struct Function {
     pub name: FunctionId,
     pub forecast: Forecast,
-    pub lanes: f64,
-    pub memory: f64,
-    pub load: f64,
-    /// Mean time to answer, and whether an instance that own evidence showed has told it.
-    pub run: f64,
-    pub timed: bool,
-    pub last_call: Micros,
-    /// A worker has answered a call of it.
-    pub served: bool,
-    /// Requests of all gateways at work at once, as answers tell; 0 until they do.
-    pub crowd: f64,
-    /// How often peers' calls alone kept an instance, as own calls found it.
-    pub kept: f64,
-    /// A hold that found none standing: where and when. The release drops it if no request came since.
-    pub loaded_by_us: Option<(W, Micros)>,
-    pub timer: bool,
+    /// Concurrency of one instance.
+    pub concurrency: f64,
+    pub memory_mb: f64,
+    pub mean_load_time: f64,
+    pub mean_run_time: f64,
+    /// Whether `mean_run_time` includes an answer from an instance that was known to be loaded.
+    pub run_time_confirmed: bool,
+    pub last_call_at: Micros,
+    /// Whether a worker has ever answered a call of it successfully.
+    pub ever_succeeded: bool,
+    /// Requests in flight from all gateways, estimated from the counts in answers; 0 until an answer has one.
+    pub fleet_in_flight: f64,
+    /// How often calls of other gateways alone had kept an instance loaded, as seen by our own calls.
+    pub peer_loaded_share: f64,
+    /// Where and when an order of ours loaded an instance. It is dropped on release if no call came since.
+    pub loaded_by_own_order: Option<(WorkerIndex, Micros)>,
+    pub forecast_timer_set: bool,
     /// Requests that wait at the gateway, by deadline.
     pub waiting: BTreeSet<(Micros, RequestId)>,
-    pub places: BTreeMap<W, Place>,
+    pub placements: BTreeMap<WorkerIndex, Placement>,
 }
 
-/// A function at a worker, as this gateway knows it.
+/// What this gateway knows of a function at one worker.
 #[derive(Debug, Default)]
-pub struct Place {
-    /// An instance stood there; none stood there.
-    pub seen: Option<Micros>,
-    pub missed: Option<Micros>,
-    /// Own order unanswered since.
-    pub ordered: Option<Micros>,
-    /// Instances that stood there when last told.
-    pub standing: u32,
-    /// No room there until then.
-    pub no_room: Micros,
+pub struct Placement {
+    /// When an instance was last seen loaded there.
+    pub loaded_seen_at: Option<Micros>,
+    /// When the worker last answered that no instance was loaded.
+    pub missed_at: Option<Micros>,
+    /// When our load order was sent, while it is unanswered.
+    pub ordered_at: Option<Micros>,
+    /// Loaded instances in the last report.
+    pub loaded_instances: u32,
+    /// The worker has no capacity for an instance until then.
+    pub no_capacity_until: Micros,
     /// Own requests in flight.
-    pub flying: u32,
+    pub in_flight: u32,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum View {
-    Good,
-    Trial,
-    Bad,
+pub enum HealthState {
+    Healthy,
+    /// May get one request at a time until one succeeds.
+    Probation,
+    Excluded,
 }
 
 /// A worker as this gateway sees it.
 #[derive(Debug, Default)]
 pub struct Worker {
-    pub entry: WorkerEntry,
-    /// By class.
+    pub list_entry: WorkerEntry,
+    /// One for each class, then one for load orders.
     pub health: Vec<Health>,
-    pub last_ok: Micros,
-    /// It turned an order away: until then it is given no pre-load.
+    pub last_success_at: Micros,
+    /// It rejected a load order for lack of capacity: it gets no prewarm orders until then.
     pub full_until: Micros,
-    pub ramp: Ramp,
+    pub slow_start: SlowStart,
     /// Own requests in flight.
-    pub flying: u32,
-    /// Running means of answer time, and of own requests in flight when those were sent.
-    pub answer_time: f64,
-    pub crowd: f64,
-    /// Functions that have a place for it.
-    pub functions: BTreeSet<F>,
+    pub in_flight: u32,
+    pub mean_response_time: f64,
+    /// Mean of own requests in flight at the time when the measured requests were sent.
+    pub mean_in_flight: f64,
+    /// Functions that have a placement for this worker.
+    pub functions: BTreeSet<FunctionIndex>,
 }
 
-/// What a worker is sent while it is cold, counted by half windows of the cold start.
+/// Limits what is sent to a cold worker, in half windows of [`ColdStart::window`].
 #[derive(Debug, Default)]
-pub struct Ramp {
-    /// News of its start came then.
+pub struct SlowStart {
+    /// When the start of the process became known here.
     pub since: Micros,
-    /// Seed of its lots.
+    /// Seed of the random draws for this process.
     pub seed: u64,
-    /// The half window of the last request sent to it, and how many more it may be sent in that one.
-    pub half: u64,
-    pub left: f64,
+    /// The half window of the last request sent to it.
+    pub half_window: u64,
+    /// Requests that may still be sent in that half window.
+    pub remaining: f64,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
-    Out,
+pub enum AttemptState {
+    InFlight,
     NeverRan,
     MayHaveRun,
 }
 
-/// An attempt in the ledger.
+/// An attempt of a request.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    pub worker: W,
-    pub sent: Micros,
-    /// An instance was held to stand there, and own evidence was fresh.
-    pub warm: bool,
-    pub known: bool,
-    /// It failed there: the next attempt goes elsewhere.
-    pub avoid: bool,
-    /// Homes of the function at the time.
-    pub homes: f64,
-    pub expected: f64,
-    pub crowd: f64,
-    pub fate: Fate,
+    pub worker: WorkerIndex,
+    pub sent_at: Micros,
+    /// An instance was believed to be loaded there when the attempt was sent.
+    pub believed_loaded: bool,
+    /// The same, from our own recent evidence.
+    pub known_loaded: bool,
+    /// It failed there: the next attempt goes to another worker.
+    pub avoid_worker: bool,
+    /// Number of home workers of the function when the attempt was sent.
+    pub home_count: f64,
+    pub expected_time: f64,
+    /// Own requests in flight at the worker when the attempt was sent, this one included.
+    pub worker_in_flight: f64,
+    pub state: AttemptState,
 }
 
-/// A request in the ledger; it stays there after its answer while attempts are out.
+/// A request; its record is kept after the answer while an attempt is in flight.
 #[derive(Debug)]
-pub struct Entry {
+pub struct RequestRecord {
     pub request: Request,
-    pub function: F,
-    /// Drawn once: whether it passes where a part of the requests does.
-    pub lot: f64,
-    pub arrived: Micros,
+    pub function: FunctionIndex,
+    /// Drawn once, from [0, 1): decides wherever only a share of the requests is admitted.
+    pub random_draw: f64,
+    pub arrived_at: Micros,
     pub deadline: Micros,
     pub attempts: Vec<Attempt>,
-    pub over: bool,
+    pub finished: bool,
     pub streaming: bool,
 }
 
 impl Attempt {
-    pub fn new(worker: W, sent: Micros) -> Self {
-        let (expected, crowd, homes) = (0.0, 0.0, 0.0);
+    pub fn new(worker: WorkerIndex, sent_at: Micros) -> Self {
+        let (expected_time, worker_in_flight, home_count) = (0.0, 0.0, 0.0);
         Self {
             worker,
-            sent,
-            warm: false,
-            known: false,
-            avoid: false,
-            homes,
-            expected,
-            crowd,
-            fate: Fate::Out,
+            sent_at,
+            believed_loaded: false,
+            known_loaded: false,
+            avoid_worker: false,
+            home_count,
+            expected_time,
+            worker_in_flight,
+            state: AttemptState::InFlight,
         }
     }
 }
 
-impl Entry {
-    pub fn new(request: Request, function: F, arrived: Micros) -> Self {
-        let deadline = arrived.saturating_add(request.time_left);
+impl RequestRecord {
+    pub fn new(request: Request, function: FunctionIndex, arrived_at: Micros) -> Self {
+        let deadline = arrived_at.saturating_add(request.time_left);
         let attempts = Vec::new();
-        Self { request, function, lot: 0.0, arrived, deadline, attempts, over: false, streaming: false }
+        Self {
+            request,
+            function,
+            random_draw: 0.0,
+            arrived_at,
+            deadline,
+            attempts,
+            finished: false,
+            streaming: false,
+        }
     }
 
-    pub fn out(&self) -> bool {
-        self.attempts.iter().any(|a| a.fate == Fate::Out)
+    pub fn has_attempt_in_flight(&self) -> bool {
+        self.attempts.iter().any(|attempt| attempt.state == AttemptState::InFlight)
     }
 
     pub fn never_ran(&self) -> bool {
-        self.attempts.iter().all(|a| a.fate == Fate::NeverRan)
+        self.attempts.iter().all(|attempt| attempt.state == AttemptState::NeverRan)
     }
 }
 
+/// Timers due at the same time run in the order of the variants.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
     Deadline(RequestId),
-    Forecast(F),
+    Forecast(FunctionIndex),
     Sweep,
-    Follow,
+    SubscribeToList,
 }
 
-/// Counts over the workers in service, taken at each sweep and each news of the list.
+/// Counts over the workers in service, refreshed regularly and at each update of the worker list.
 #[derive(Debug, Default)]
 pub struct Fleet {
-    pub serving: f64,
-    pub warm: f64,
-    /// Fewer than half the workers are past their target answer time.
-    pub calm: bool,
-    /// Most workers look bad at once: the health sense gives way.
-    pub trusting: bool,
+    pub in_service: f64,
+    /// Workers past their cold start.
+    pub warmed_up: f64,
+    /// Fewer than half the workers are above the target response time.
+    pub mostly_within_target: bool,
+    /// Too few workers look healthy for the failures to be theirs: health is ignored.
+    pub ignore_health: bool,
 }
 
-/// What has been learned of times and rates.
+/// Running means of times and rates over all functions and workers.
 #[derive(Debug, Default)]
 pub struct Means {
-    pub class_run: Vec<f64>,
-    pub run: f64,
-    pub load: f64,
-    /// Successes on warm workers since the last sweep, and such a worker's usual rate of them.
-    pub served: f64,
-    pub worker_rate: f64,
-    /// How often peers' calls alone kept an instance, over all functions.
-    pub kept: f64,
+    pub class_run_time: Vec<f64>,
+    pub run_time: f64,
+    pub load_time: f64,
+    /// Successes on warmed-up workers since the last refresh of `warm_worker_rate`.
+    pub warm_successes: f64,
+    /// Successes of one warmed-up worker for this gateway, in one microsecond.
+    pub warm_worker_rate: f64,
+    /// How often calls of other gateways alone had kept an instance loaded, over all functions.
+    pub peer_loaded_share: f64,
 }
 
-/// When a function will be called next: exponential gaps at the rate of its last arrivals.
+/// Predicts the next call of a function: exponential gaps at the rate of its last arrivals.
 #[derive(Debug, Default)]
 pub struct Forecast {
-    pub times: VecDeque<Micros>,
+    pub arrivals: VecDeque<Micros>,
     pub load_at: Micros,
     pub release_at: Micros,
-    /// Told to come by then, whatever the arrivals say.
-    pub told: Micros,
+    /// Calls were announced for the time until then, so it isn't released earlier.
+    pub expected_until: Micros,
 }
 
-/// A worker's health for one class, from outcomes alone.
+/// The health of a worker for one class of requests or for load orders, from outcomes alone.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
-    pub score: f64,
-    pub failed: Micros,
-    /// Left alone until then, on trial after.
-    pub until: Micros,
+    pub failure_score: f64,
+    pub last_failure_at: Micros,
+    /// If suspect: excluded until then, on probation after.
+    pub excluded_until: Micros,
     pub suspect: bool,
-    pub last_ok: Micros,
+    pub last_success_at: Micros,
 }
 
-/// Load orders: the budgets of the order gate, and the pre-loads that wait for it.
+/// Load orders: the prewarms that wait to be ordered, and what the order budgets are counted from.
 #[derive(Debug, Default)]
-pub struct Holds {
-    pub wanted: Wanted,
-    pub tokens: f64,
-    pub given: VecDeque<Micros>,
-    pub taken: VecDeque<Micros>,
+pub struct LoadOrders {
+    pub prewarms: PrewarmQueue,
+    /// Token bucket of prewarm orders.
+    pub prewarm_tokens: f64,
+    /// When the orders within the budget's window were sent.
+    pub order_times: VecDeque<Micros>,
+    /// When the served requests within the budget's window arrived.
+    pub call_times: VecDeque<Micros>,
 }
 
-impl Holds {
-    /// Forgets orders older than a window and a margin, and calls older than the window less the margin.
+impl LoadOrders {
+    /// Forgets orders older than the window plus the margin, and calls older than the window less the margin.
     pub fn forget_before(&mut self, now: Micros, window: Micros, margin: Micros) {
-        while self.given.front().is_some_and(|at| at + window + margin < now) {
-            self.given.pop_front();
+        while self.order_times.front().is_some_and(|at| at + window + margin < now) {
+            self.order_times.pop_front();
         }
-        while self.taken.front().is_some_and(|at| at + window < now + margin) {
-            self.taken.pop_front();
+        while self.call_times.front().is_some_and(|at| at + window < now + margin) {
+            self.call_times.pop_front();
         }
     }
 }
 
 impl Function {
-    /// From when nothing may have come of it for a span, its forecast ended as well.
-    pub fn idle_from(&self, span: Micros) -> Micros {
-        let idle = self.last_call.max(self.forecast.told).saturating_add(span);
-        if self.timer { idle.max(self.forecast.release_at) } else { idle }
+    /// When it will have had neither calls nor a live forecast for `span`, if nothing happens until then.
+    pub fn idle_deadline(&self, span: Micros) -> Micros {
+        let idle = self.last_call_at.max(self.forecast.expected_until).saturating_add(span);
+        if self.forecast_timer_set { idle.max(self.forecast.release_at) } else { idle }
     }
 
-    /// Forgets all of a worker.
-    pub fn leave(&mut self, w: W) {
-        self.places.remove(&w);
-        self.loaded_by_us = self.loaded_by_us.filter(|(at, _)| *at != w);
+    /// Removes everything that refers to a worker.
+    pub fn forget_worker(&mut self, worker: WorkerIndex) {
+        self.placements.remove(&worker);
+        self.loaded_by_own_order = self.loaded_by_own_order.filter(|(at, _)| *at != worker);
     }
 }
 
-impl Place {
-    /// What was known of its instances holds no more.
+impl Placement {
+    /// Discards what was known of loaded instances and of capacity.
     pub fn clear(&mut self) {
-        (self.seen, self.standing, self.no_room) = (None, 0, 0);
+        (self.loaded_seen_at, self.loaded_instances, self.no_capacity_until) = (None, 0, 0);
     }
 }
 
 impl Worker {
-    /// Until when it takes no pre-load.
-    pub fn closed_until(&self) -> Micros {
-        if self.entry.state == WorkerState::In { self.full_until } else { Micros::MAX }
+    /// Until when it accepts no prewarm order.
+    pub fn no_prewarm_until(&self) -> Micros {
+        if self.list_entry.state == WorkerState::In { self.full_until } else { Micros::MAX }
     }
 }
 
 impl Forecast {
-    /// Arrivals a microsecond; 0 until two arrivals span above zero.
+    /// Arrivals in one microsecond; 0 until two arrivals differ in time.
     pub fn rate(&self) -> f64 {
-        match (self.times.front(), self.times.back()) {
-            (Some(first), Some(last)) if last > first => self.times.len() as f64 / (last - first) as f64,
+        match (self.arrivals.front(), self.arrivals.back()) {
+            (Some(first), Some(last)) if last > first => self.arrivals.len() as f64 / (last - first) as f64,
             _ => 0.0,
         }
     }
@@ -274,11 +297,11 @@
 
 impl Means {
     pub fn new(classes: usize) -> Self {
-        Self { class_run: vec![0.0; classes], kept: 1.0, ..Self::default() }
+        Self { class_run_time: vec![0.0; classes], peer_loaded_share: 1.0, ..Self::default() }
     }
 }
 
-/// Moves a running mean towards a sample; the first one is the mean.
-pub fn blend(mean: &mut f64, sample: f64, weight: f64) {
+/// Moves an exponential running mean towards a sample; the first sample becomes the mean.
+pub fn update_mean(mean: &mut f64, sample: f64, weight: f64) {
     *mean = if *mean > 0.0 { *mean + weight * (sample - *mean) } else { sample };
 }
--- a/src/tally.rs
+++ b/src/tally.rs
@@ -1,31 +1,31 @@
-//! Counts of what the decision module keeps and looks at, for tests and for those who plan a fleet.
+//! Counts of the entries that a dispatcher keeps and visits, for tests and for capacity planning.
 
 use crate::rules::Dispatcher;
 
-/// What one dispatcher keeps, and the work that it has done so far, in entries: none of it is a time.
+/// Entries that one dispatcher keeps and the work that it has done so far. No field is a time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
-    /// What is kept of functions at workers: one entry for each pair of them with own evidence.
+    /// Pairs of a function and a worker about which this gateway has evidence of its own.
     pub places: usize,
-    /// Wanted pre-loads that wait for the order gate.
+    /// Wanted prewarms that wait to be ordered.
     pub wanted: usize,
-    /// Points of workers on the ring.
+    /// Points of workers on the hash ring.
     pub ring_points: usize,
-    /// How often a forecast was due and wanted an instance, waiting already or not.
+    /// How often a due forecast wanted an instance, whether or not its prewarm was already queued.
     pub asked: u64,
-    /// Entries that ranking the wanted pre-loads and forgetting functions have looked at.
+    /// Entries visited in ranking prewarms and in forgetting idle functions.
     pub looked_at: u64,
 }
 
 impl Dispatcher {
-    /// Counts what is kept, entry by entry, and what was looked at.
+    /// Counts what is kept now and the entries visited so far.
     pub fn tally(&self) -> Tally {
         Tally {
-            places: self.functions.iter().map(|function| function.places.len()).sum(),
-            wanted: self.holds.wanted.len(),
+            places: self.functions.iter().map(|function| function.placements.len()).sum(),
+            wanted: self.orders.prewarms.len(),
             ring_points: self.ring.len(),
-            asked: self.holds.wanted.asked(),
-            looked_at: self.holds.wanted.visits() + self.idle.visits(),
+            asked: self.orders.prewarms.add_calls(),
+            looked_at: self.orders.prewarms.visits() + self.idle_functions.visits(),
         }
     }
 }
--- a/src/wanted.rs
+++ b/src/wanted.rs
@@ -1,189 +1,194 @@
-//! The pre-loads that wait for the order gate, kept ranked by their worth. Nothing here decides anything: a
-//! change costs by the entries that it concerns, not by all that are kept.
+//! The queue of wanted prewarms (instances to load before their next call), ranked by priority. An update
+//! costs time for the entries that it concerns, not for all that are queued.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::interface::Micros;
-use crate::state::{F, W};
+use crate::state::{FunctionIndex, WorkerIndex};
 
-/// An instance wanted before its next call.
-pub type Want = (F, W);
+/// An instance of a function that is to be loaded at a worker before its next call.
+pub type Prewarm = (FunctionIndex, WorkerIndex);
 
-/// A worth that is ordered as `f64::total_cmp` does.
+/// A priority, ordered by `f64::total_cmp`.
 #[derive(Clone, Copy, Debug)]
-struct Worth(f64);
+struct Priority(f64);
 
-impl Ord for Worth {
+impl Ord for Priority {
     fn cmp(&self, other: &Self) -> Ordering {
         self.0.total_cmp(&other.0)
     }
 }
 
-impl PartialOrd for Worth {
+impl PartialOrd for Priority {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl PartialEq for Worth {
+impl PartialEq for Priority {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other).is_eq()
     }
 }
 
-impl Eq for Worth {}
+impl Eq for Priority {}
 
-/// What a worth is measured in: worths are compared within one scale only.
+/// The load time behind a priority: only priorities with the same one are comparable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scale {
-    /// The function's own load time is known, and is in it.
-    OwnLoad,
-    /// The load time is the one that all such functions are held to have, and is left out.
-    CommonLoad,
+pub enum LoadTimeSource {
+    /// The function's own load time is known and is a factor of the priority.
+    Function,
+    /// The load time is the estimate shared by all such functions, and is left out of the priority.
+    Shared,
 }
 
-type Ranking = BTreeSet<(Reverse<Worth>, Want)>;
+type Ranking = BTreeSet<(Reverse<Priority>, Prewarm)>;
 
-/// The wanted pre-loads.
+/// The wanted prewarms.
 #[derive(Debug, Default)]
-pub struct Wanted {
-    /// With the place in a ranking; `None` for one that is new or put aside.
-    wants: BTreeMap<Want, Option<(Scale, Worth)>>,
-    by_worker: BTreeMap<W, BTreeSet<F>>,
-    own_load: Ranking,
-    common_load: Ranking,
-    /// When what is put aside at a worker is to be looked at again.
-    resume: BTreeSet<(Micros, W)>,
-    /// Functions of which something has changed since they were last looked at.
-    touched: BTreeSet<F>,
-    /// When the wanted were last looked at.
-    looked: Micros,
+pub struct PrewarmQueue {
+    /// Each with its position in a ranking; `None` if it is new or deferred.
+    entries: BTreeMap<Prewarm, Option<(LoadTimeSource, Priority)>>,
+    by_worker: BTreeMap<WorkerIndex, BTreeSet<FunctionIndex>>,
+    ranked_by_own_load_time: Ranking,
+    ranked_by_shared_load_time: Ranking,
+    /// When the deferred prewarms of a worker are to be reviewed again.
+    resume_at: BTreeSet<(Micros, WorkerIndex)>,
+    /// Functions that have changed since their prewarms were last reviewed.
+    changed: BTreeSet<FunctionIndex>,
+    /// When `take_changed` last ran.
+    reviewed_at: Micros,
     visits: u64,
-    asked: u64,
+    add_calls: u64,
 }
 
-impl Wanted {
-    /// Adds one, to be looked at.
-    pub fn add(&mut self, want: Want) {
-        self.asked += 1;
-        if let Entry::Vacant(entry) = self.wants.entry(want) {
+impl PrewarmQueue {
+    /// Adds a prewarm, to be reviewed next.
+    pub fn add(&mut self, prewarm: Prewarm) {
+        self.add_calls += 1;
+        if let Entry::Vacant(entry) = self.entries.entry(prewarm) {
             self.visits += 1;
             entry.insert(None);
-            self.by_worker.entry(want.1).or_default().insert(want.0);
-            self.touched.insert(want.0);
+            self.by_worker.entry(prewarm.1).or_default().insert(prewarm.0);
+            self.changed.insert(prewarm.0);
         }
     }
 
-    /// Takes one out.
-    pub fn remove(&mut self, want: Want) {
-        self.unrank(want);
-        if self.wants.remove(&want).is_some()
-            && let Some(functions) = self.by_worker.get_mut(&want.1)
+    pub fn remove(&mut self, prewarm: Prewarm) {
+        self.unrank(prewarm);
+        if self.entries.remove(&prewarm).is_some()
+            && let Some(functions) = self.by_worker.get_mut(&prewarm.1)
         {
-            functions.remove(&want.0);
+            functions.remove(&prewarm.0);
             if functions.is_empty() {
-                self.by_worker.remove(&want.1);
+                self.by_worker.remove(&prewarm.1);
             }
         }
     }
 
-    /// Gives one its place in a ranking.
-    pub fn rank(&mut self, want: Want, scale: Scale, worth: f64) {
-        self.unrank(want);
-        if let Some(place) = self.wants.get_mut(&want) {
-            *place = Some((scale, Worth(worth)));
-            self.ranking(scale).insert((Reverse(Worth(worth)), want));
+    /// Sets the priority of a queued prewarm.
+    pub fn rank(&mut self, prewarm: Prewarm, source: LoadTimeSource, priority: f64) {
+        self.unrank(prewarm);
+        if let Some(position) = self.entries.get_mut(&prewarm) {
+            *position = Some((source, Priority(priority)));
+            self.ranking(source).insert((Reverse(Priority(priority)), prewarm));
         }
     }
 
-    /// Leaves one out of the rankings until then.
-    pub fn put_aside(&mut self, want: Want, until: Micros) {
-        self.unrank(want);
+    /// Leaves a prewarm out of the rankings until the given time; with `Micros::MAX`, until its function or
+    /// worker changes.
+    pub fn defer(&mut self, prewarm: Prewarm, until: Micros) {
+        self.unrank(prewarm);
         if until < Micros::MAX {
-            self.resume.insert((until, want.1));
+            self.resume_at.insert((until, prewarm.1));
         }
     }
 
-    /// Has all at a worker looked at again.
-    pub fn resume(&mut self, worker: W) {
+    /// Marks all prewarms of a worker for review.
+    pub fn worker_changed(&mut self, worker: WorkerIndex) {
         let functions = self.by_worker.get(&worker).into_iter().flatten();
-        self.touched.extend(functions);
+        self.changed.extend(functions);
     }
 
-    /// Something of a function changes. What was looked at last when it was no longer wanted, is out.
-    pub fn touch(&mut self, function: F, wanted_until: Micros) {
-        if self.looked >= wanted_until {
-            for want in self.of(function) {
-                self.remove(want);
+    /// Marks the prewarms of a function for review, before something of it changes. `wanted_until` is the
+    /// value before the change: if the last review came after it, the prewarms had expired then and are
+    /// removed.
+    pub fn function_changing(&mut self, function: FunctionIndex, wanted_until: Micros) {
+        if self.reviewed_at >= wanted_until {
+            for prewarm in self.visit_function(function) {
+                self.remove(prewarm);
             }
         }
-        self.touched.insert(function);
+        self.changed.insert(function);
     }
 
-    /// Those to be looked at again: of functions that were touched, and put aside until now.
-    pub fn take_changed(&mut self, now: Micros) -> Vec<Want> {
-        self.looked = now;
-        while let Some((_, worker)) = self.resume.first().copied().filter(|(at, _)| *at <= now) {
-            self.resume.pop_first();
-            self.resume(worker);
+    /// Takes the prewarms to review: of functions that have changed, and those deferred until now.
+    pub fn take_changed(&mut self, now: Micros) -> Vec<Prewarm> {
+        self.reviewed_at = now;
+        while let Some((_, worker)) = self.resume_at.first().copied().filter(|(at, _)| *at <= now) {
+            self.resume_at.pop_first();
+            self.worker_changed(worker);
         }
-        let touched = std::mem::take(&mut self.touched);
-        touched.into_iter().flat_map(|function| self.of(function)).collect()
+        let changed = std::mem::take(&mut self.changed);
+        changed.into_iter().flat_map(|function| self.visit_function(function)).collect()
     }
 
-    /// The first of each ranking.
-    pub fn first(&self) -> impl Iterator<Item = Want> {
-        [&self.own_load, &self.common_load].into_iter().filter_map(|r| r.first()).map(|(_, want)| *want)
+    /// The prewarm of highest priority in each ranking.
+    pub fn highest_ranked(&self) -> impl Iterator<Item = Prewarm> {
+        [&self.ranked_by_own_load_time, &self.ranked_by_shared_load_time]
+            .into_iter()
+            .filter_map(|ranking| ranking.first())
+            .map(|(_, prewarm)| *prewarm)
     }
 
-    /// Whether an instance of the function is wanted anywhere.
-    pub fn has_function(&self, function: F) -> bool {
-        self.range(function).next().is_some()
+    /// Whether a prewarm of the function is queued for any worker.
+    pub fn has_function(&self, function: FunctionIndex) -> bool {
+        self.prewarms_of(function).next().is_some()
     }
 
-    /// Whether any instance is wanted there.
-    pub fn has_worker(&self, worker: W) -> bool {
+    /// Whether a prewarm is queued for the worker.
+    pub fn has_worker(&self, worker: WorkerIndex) -> bool {
         self.by_worker.contains_key(&worker)
     }
 
-    /// How many are kept.
     pub fn len(&self) -> usize {
-        self.wants.len()
+        self.entries.len()
     }
 
-    /// How often one was to be added, those that were there already included.
-    pub fn asked(&self) -> u64 {
-        self.asked
+    /// How often `add` was called, including for prewarms that were already queued.
+    pub fn add_calls(&self) -> u64 {
+        self.add_calls
     }
 
-    /// Entries looked at so far.
+    /// Entries visited so far: a measure of the work done.
     pub fn visits(&self) -> u64 {
         self.visits
     }
 
-    fn range(&self, function: F) -> impl Iterator<Item = Want> {
-        self.wants.range((function, 0)..=(function, W::MAX)).map(|(want, _)| *want)
+    fn prewarms_of(&self, function: FunctionIndex) -> impl Iterator<Item = Prewarm> {
+        self.entries.range((function, 0)..=(function, WorkerIndex::MAX)).map(|(prewarm, _)| *prewarm)
     }
 
-    fn of(&mut self, function: F) -> Vec<Want> {
-        let wants: Vec<Want> = self.range(function).collect();
-        self.visits += 1 + wants.len() as u64;
-        wants
+    /// The prewarms of a function, counted as visits.
+    fn visit_function(&mut self, function: FunctionIndex) -> Vec<Prewarm> {
+        let prewarms: Vec<Prewarm> = self.prewarms_of(function).collect();
+        self.visits += 1 + prewarms.len() as u64;
+        prewarms
     }
 
-    fn unrank(&mut self, want: Want) {
+    fn unrank(&mut self, prewarm: Prewarm) {
         self.visits += 1;
-        if let Some((scale, worth)) = self.wants.get_mut(&want).and_then(Option::take) {
-            self.ranking(scale).remove(&(Reverse(worth), want));
+        if let Some((source, priority)) = self.entries.get_mut(&prewarm).and_then(Option::take) {
+            self.ranking(source).remove(&(Reverse(priority), prewarm));
         }
     }
 
-    fn ranking(&mut self, scale: Scale) -> &mut Ranking {
-        match scale {
-            Scale::OwnLoad => &mut self.own_load,
-            Scale::CommonLoad => &mut self.common_load,
+    fn ranking(&mut self, source: LoadTimeSource) -> &mut Ranking {
+        match source {
+            LoadTimeSource::Function => &mut self.ranked_by_own_load_time,
+            LoadTimeSource::Shared => &mut self.ranked_by_shared_load_time,
         }
     }
 }
