--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,14 +1,15 @@
-//! The types that cross the border of the decision module: [`Settings`], [`Event`], [`Action`].
+//! The public types of the decision module: its [`Settings`], the [`Event`]s that it takes and the [`Action`]s
+//! that it returns.
 //!
-//! Nothing here decides anything. Spans and instants are microseconds on the host's clock.
+//! This file has data types only. Durations and points in time are in microseconds of the caller's clock.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A span or an instant in microseconds.
+/// A duration or a point in time, in microseconds.
 pub type Micros = u64;
 
-macro_rules! id {
+macro_rules! string_id {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
         #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -25,43 +26,43 @@
         }
     };
 }
-id!(
-    /// Names a worker; the same at every gateway, and kept when its process restarts.
+string_id!(
+    /// Identifies a worker; the same at every gateway, and unchanged when the worker's process restarts.
     WorkerId
 );
-id!(
-    /// Names a function (a model).
+string_id!(
+    /// Identifies a function (a model).
     FunctionId
 );
-id!(
-    /// Names one request; never used twice.
+string_id!(
+    /// Identifies one request; never reused.
     RequestId
 );
 
-/// What a repeat of a request of this class may do.
+/// Whether a request of a class may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// May run any number of times.
+    /// Idempotent: it may run any number of times.
     Safe,
-    /// Repeats are dropped by the workers of one group for a time.
+    /// The workers of one group deduplicate repeats by the request's key for a limited time.
     Keyed {
-        /// The workers that share what they remember.
+        /// The workers that share the deduplication records.
         group: Group,
-        /// How long they remember, from the first sending that may have run.
+        /// How long a record is kept, from the first attempt that may have run.
         memory: Micros,
     },
-    /// Must never run twice.
+    /// It must not run more than once.
     Unsafe,
 }
 
-/// The workers among which a keyed request may be repeated.
+/// The workers among which a keyed request may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Group {
     /// All workers.
     All,
-    /// Those of one zone.
+    /// The workers of one zone.
     Zone,
-    /// Those of one cell.
+    /// The workers of one cell.
     Cell,
 }
 
@@ -70,119 +71,120 @@
 pub struct Class {
     /// Its name.
     pub name: String,
-    /// An answer within this time earns the full worth.
+    /// Latency objective: an answer within this time earns the full [`worth`](Self::worth).
     pub aim: Micros,
-    /// How long a client waits in all.
+    /// Client timeout: how long a client waits for the answer.
     pub give_up: Micros,
-    /// What a repeat may do.
+    /// Whether a request may be executed more than once.
     pub effect: Effect,
     /// Whether the answer is a stream.
     pub streamed: bool,
-    /// Worth of a request answered within its aim.
+    /// Value of a request that is answered within the latency objective.
     pub worth: f64,
-    /// Share of the worth that a later answer earns.
+    /// Fraction of the value that a later answer earns.
     pub late_worth: f64,
 }
 
-/// A customer with a share of the service.
+/// A customer with a request quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
     /// Its name.
     pub name: String,
-    /// Requests a second, over all gateways, that count as within its share.
+    /// Requests per second over all gateways that are within its quota.
     pub quota_per_s: f64,
 }
 
-/// What a worker does with a call of a function that it lacks.
+/// What a worker does with a call of a function that is not loaded there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WhenAbsent {
     /// It loads the function while the call waits.
     Load,
-    /// It answers [`Outcome::Miss`]; only a hold order loads.
+    /// It answers [`Outcome::Miss`]; only a prewarm order ([`Action::Hold`]) loads the function.
     Miss,
 }
 
-/// The ration of load orders.
+/// The rate limit on prewarm orders, over a sliding window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OrderRation {
-    /// The window over which orders are counted.
+    /// Length of the window.
     pub window: Micros,
-    /// Orders allowed whatever the traffic.
+    /// Orders allowed in a window regardless of the traffic.
     pub free: f64,
-    /// Further orders allowed for each request taken in the window.
+    /// Further orders allowed for each request that was accepted in the window.
     pub per_request: f64,
 }
 
-/// How a worker that has just started must be treated.
+/// The limits of slow start: how much work a worker that has just started can take.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdStart {
-    /// It begins with at least this share of its capacity.
+    /// Fraction of its capacity that it has at least when it starts.
     pub from: f64,
-    /// It has its full capacity after this time at the latest.
+    /// Time after which it has its full capacity at the latest.
     pub warm_up: Micros,
-    /// Work beyond this multiple of its present capacity ...
+    /// Work above this multiple of its current capacity ...
     pub multiple: f64,
-    /// ... for this long makes it fall over.
+    /// ... for this long makes its process collapse.
     pub window: Micros,
 }
 
-/// What the gateway is told at its start. See [`Settings::default`] for the values of absent keys.
+/// The configuration of a [`Dispatcher`](crate::Dispatcher). [`Settings::default`] has the values of absent
+/// keys.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Gateways sharing the workers, this one included.
+    /// Number of gateways that share the workers, including this one.
     pub gateways: u32,
     /// The zone of this gateway.
     pub zone: String,
-    /// The host hands over events no more often than this.
+    /// The caller delivers events at most once in this time.
     pub tick: Micros,
-    /// The classes; requests name them by position.
+    /// The request classes; a request refers to its class by index.
     pub classes: Vec<Class>,
-    /// The tenants; requests name them by position.
+    /// The tenants; a request refers to its tenant by index.
     pub tenants: Vec<Tenant>,
-    /// Share of the worth left for requests beyond a tenant's quota.
+    /// Fraction of the value that requests above a tenant's quota keep.
     pub over_quota_worth: f64,
-    /// The worker list must be subscribed to.
+    /// Whether changes of the worker list must be subscribed to ([`Action::Follow`]).
     pub must_follow: bool,
-    /// Without a subscription the list must be asked for at least this often.
+    /// Longest time between two requests for the worker list where there is no subscription.
     pub ask_within: Micros,
-    /// An idle instance stays loaded for at least this long.
+    /// How long an idle instance stays loaded at least.
     pub keep_alive: Micros,
-    /// What a worker does without the function.
+    /// What a worker does with a call of a function that is not loaded there.
     pub when_absent: WhenAbsent,
-    /// Hold and drop orders are allowed.
+    /// Whether prewarm and unload orders ([`Action::Hold`], [`Action::Drop`]) are allowed.
     pub may_order: bool,
-    /// Answers tell how many requests for the same function the worker held.
+    /// Whether answers report how many requests for the same function the worker had in flight.
     pub tells_crowd: bool,
-    /// The ration of hold orders, where there is one.
+    /// Rate limit on prewarm orders, if there is one.
     pub ration: Option<OrderRation>,
-    /// Most instances that one hold order may name.
+    /// Most instances that one prewarm order may request.
     pub most_instances: usize,
-    /// A hold order unanswered for this long is answered as timed out.
+    /// A prewarm order without an answer for this long ends with [`Outcome::Timeout`].
     pub order_timeout: Micros,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be canceled.
     pub may_cancel: bool,
-    /// Workers may be probed.
+    /// Whether workers may be probed.
     pub may_probe: bool,
-    /// A request may have two attempts outstanding.
+    /// Whether a request may have two attempts in flight.
     pub may_duplicate: bool,
-    /// Most attempts of one request.
+    /// Most attempts per request.
     pub max_attempts: usize,
-    /// Refused clients can be told when to return.
+    /// Whether a refusal may state a retry delay.
     pub retry_after: bool,
-    /// The longest return time that clients honour.
+    /// Longest retry delay that clients honor.
     pub max_retry_after: Micros,
-    /// A connection not established within this time has failed.
+    /// Timeout for establishing a connection.
     pub connect_timeout: Micros,
-    /// How new work to a draining or gone worker may still go out; the module uses none of it.
+    /// How long new work may still be sent to a worker that drains or has left the list; the module sends none.
     pub drain_grace: Micros,
-    /// Care for workers that have just started.
+    /// Slow start of workers that have just started.
     pub cold: ColdStart,
-    /// Memory of each kind of worker, in MB, where known.
+    /// Memory of each kind of worker in MB, where known.
     pub kind_memory_mb: BTreeMap<String, f64>,
 }
 
 impl Default for Settings {
-    /// One gateway, no classes, everything optional forbidden.
+    /// One gateway, no classes, and every optional capability disabled.
     fn default() -> Self {
         Self {
             gateways: 1,
@@ -215,77 +217,77 @@
 }
 
 impl Settings {
-    /// Whether the settings make sense.
+    /// Checks that there is a class and that figures that must be positive are.
     pub fn check(&self) -> Result<(), SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
         }
-        let above = |ok: bool, name| if ok { Ok(()) } else { Err(SettingsError::NotPositive(name)) };
-        above(self.tick > 0, "tick")?;
-        above(self.gateways > 0, "gateways")?;
-        above(self.max_attempts > 0, "max_attempts")?;
-        above(self.classes.iter().all(|c| c.aim > 0), "aim")?;
-        above(self.cold.multiple > 0.0 && self.cold.from > 0.0, "cold")
+        let require = |ok: bool, name| if ok { Ok(()) } else { Err(SettingsError::NotPositive(name)) };
+        require(self.tick > 0, "tick")?;
+        require(self.gateways > 0, "gateways")?;
+        require(self.max_attempts > 0, "max_attempts")?;
+        require(self.classes.iter().all(|c| c.aim > 0), "aim")?;
+        require(self.cold.multiple > 0.0 && self.cold.from > 0.0, "cold")
     }
 }
 
-/// Settings that make no sense.
+/// Invalid settings.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
-    /// There is no class of requests.
+    /// No request class is configured.
     #[error("settings: no classes")]
     NoClasses,
-    /// A figure that must be above zero is not, or is not a number.
+    /// A value that must be above zero is zero, negative or not a number.
     #[error("settings: {0} must be above zero")]
     NotPositive(&'static str),
 }
 
-/// A request of a client.
+/// A client's request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Request {
     /// Its id.
     pub id: RequestId,
-    /// Position of its class in [`Settings::classes`]; one out of range is treated as unsafe.
+    /// Index of its class in [`Settings::classes`]; out of range, it is treated as [`Effect::Unsafe`].
     pub class: usize,
-    /// Position of its tenant in [`Settings::tenants`], if it has one.
+    /// Index of its tenant in [`Settings::tenants`], if it has one.
     pub tenant: Option<usize>,
     /// The function that it calls.
     pub function: FunctionId,
-    /// Time until the client gives up on this try.
+    /// Time until the client's deadline.
     pub time_left: Micros,
-    /// Memory of one instance of the function, in MB.
+    /// Memory of one instance of the function in MB, if known.
     pub memory_mb: Option<f64>,
-    /// Requests that one instance runs at a time.
+    /// Concurrency of one instance: how many requests it runs at a time, if known.
     pub lanes: Option<u32>,
-    /// Usual time of a load.
+    /// Typical load time of the function, if known.
     pub load_time: Option<Micros>,
 }
 
-/// How an attempt, an order or a probe ended.
+/// How an attempt, a prewarm order or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served; or: the instances stand; or: the probe was answered.
+    /// The attempt was served, the ordered instances are loaded, or the probe was answered.
     Ok,
-    /// The worker answered with an error; it may have run.
+    /// The worker answered with an error; the request may have run.
     Error,
-    /// Turned away unseen; it never ran.
+    /// The worker rejected it for lack of capacity; it never ran.
     Full,
-    /// Nothing heard in time; it may have run.
+    /// No answer within the timeout; it may have run.
     Timeout,
-    /// No connection; it never ran.
+    /// No connection was established; it never ran.
     ConnectFailed,
     /// The connection broke; it may have run.
     Reset,
-    /// Called off; it may have run.
+    /// Canceled; it may have run.
     Cancelled,
-    /// Not sent at all; it never ran.
+    /// Not sent; it never ran.
     Moot,
-    /// The function is not loaded there; it never ran.
+    /// The function is not loaded at the worker; it never ran.
     Miss,
 }
 
 impl Outcome {
-    /// Whether an attempt that ended so provably never ran.
+    /// Whether an attempt with this outcome certainly never ran.
     pub fn never_ran(self) -> bool {
         matches!(self, Self::Full | Self::ConnectFailed | Self::Moot | Self::Miss)
     }
@@ -298,40 +300,40 @@
     pub id: WorkerId,
     /// Its zone.
     pub zone: String,
-    /// Its kind of machine.
+    /// Its machine type.
     pub kind: String,
     /// Its cell.
     pub cell: u64,
-    /// Whether it may be given work.
+    /// Whether it takes new work.
     pub state: WorkerState,
-    /// When its process last started; `None`: long ago.
+    /// When its process last started; `None` if long ago.
     pub started: Option<Micros>,
 }
 
-/// Whether a listed worker may be given work.
+/// Whether a worker takes new work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WorkerState {
     /// In service.
     In,
-    /// Finishing what it has.
+    /// It finishes the work in flight and takes no more.
     Draining,
-    /// Withdrawn, or not listed.
+    /// Out of service, or not listed.
     #[default]
     Out,
 }
 
-/// News of the worker list.
+/// An update of the worker list.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ListNews {
-    /// The complete list; what is missing is gone.
+    /// The complete list; workers that are not in it are out of service.
     Whole(Vec<WorkerEntry>),
-    /// Changed entries only.
+    /// The changed entries only.
     Changes(Vec<WorkerEntry>),
-    /// A call for the list failed or the subscription broke; the list held stays in force.
+    /// Fetching the list failed or the subscription broke; the last known list stays in use.
     Lost,
 }
 
-/// What happened.
+/// An input of the decision module.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// A client's request arrived.
@@ -346,13 +348,13 @@
         worker: WorkerId,
         /// How it ended.
         outcome: Outcome,
-        /// Time since it was sent.
+        /// Time since the attempt was sent.
         elapsed: Micros,
-        /// The request has its final answer.
+        /// Whether the client has received its final answer.
         answered: bool,
-        /// Requests for the same function that the worker held when this one came, if told.
+        /// Requests for the same function that the worker had in flight when this one arrived, if reported.
         crowd: Option<u32>,
-        /// It ended because a load failed there.
+        /// Whether it ended because the worker failed to load the function.
         load_failed: bool,
     },
     /// A streamed answer has begun.
@@ -362,11 +364,11 @@
         /// The attempt that streams.
         attempt: usize,
     },
-    /// The client has left; the request is over.
+    /// The client has disconnected; the request is over.
     Gone(RequestId),
-    /// News of the worker list.
+    /// The worker list was updated.
     List(ListNews),
-    /// A hold order was answered.
+    /// A prewarm order ([`Action::Hold`]) ended.
     Held {
         /// The worker.
         worker: WorkerId,
@@ -376,77 +378,77 @@
         outcome: Outcome,
         /// Time since the order.
         elapsed: Micros,
-        /// Instances that stand there.
+        /// Instances of the function that are loaded there.
         standing: u32,
     },
-    /// A probe was answered.
+    /// A probe ended.
     Probed {
         /// The worker.
         worker: WorkerId,
         /// How it ended.
         outcome: Outcome,
     },
-    /// Calls of a function are coming, from those of another: it is to stand loaded until then, called or not.
+    /// Calls of another function will move to this one, which is to stay loaded until then.
     Expected {
         /// The function.
         function: FunctionId,
-        /// The one whose calls it would get, and whose needs it is held to have.
+        /// The function whose calls it will get; the same traffic and resources are assumed for it.
         like: FunctionId,
-        /// From now.
+        /// Time from now until when the calls may come.
         within: Micros,
     },
-    /// A wake-up that was asked for is due.
+    /// A timer set by [`Action::WakeAfter`] has expired.
     Wake,
 }
 
-/// What the host is to do, in the order given.
+/// What the caller has to do, in the order returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Begin an attempt.
+    /// Send an attempt to a worker.
     Send {
         /// The request.
         request: RequestId,
         /// The worker.
         worker: WorkerId,
-        /// Time-out of the attempt.
+        /// Timeout of the attempt.
         timeout: Micros,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt.
     Cancel {
         /// The request.
         request: RequestId,
         /// The attempt.
         attempt: usize,
     },
-    /// Final answer: declined, a further try does no harm.
+    /// Final answer: refused; the client may safely retry.
     Refuse {
         /// The request.
         request: RequestId,
-        /// How long the client should stay away.
+        /// How long the client should wait before it retries.
         retry_after: Option<Micros>,
     },
-    /// Final answer: failed, nothing promised.
+    /// Final answer: failed; the request may have run.
     Fail {
         /// The request.
         request: RequestId,
     },
-    /// Have a worker hold so many instances of a function.
+    /// Prewarm order: have a worker load `count` instances of a function, or keep them loaded.
     Hold {
         /// The worker.
         worker: WorkerId,
         /// The function.
         function: FunctionId,
-        /// The instances wanted.
+        /// The number of instances.
         count: u32,
     },
-    /// Have a worker unload its idle instances of a function.
+    /// Unload order: have a worker unload its idle instances of a function.
     Drop {
         /// The worker.
         worker: WorkerId,
         /// The function.
         function: FunctionId,
     },
-    /// Nothing is kept of this function any more; a call of it would be the first.
+    /// The module has dropped all its state of a function; the next call counts as its first.
     Forget(FunctionId),
     /// Probe a worker.
     Probe {
@@ -455,8 +457,8 @@
     },
     /// Subscribe to changes of the worker list.
     Follow,
-    /// Hand over [`Event::Wake`] after this span.
+    /// Set a timer: deliver [`Event::Wake`] after this duration.
     WakeAfter(Micros),
-    /// A line for the operators.
+    /// Write a line to the log.
     Log(String),
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,8 @@
-//! cresswheel decides for a dispatcher of many small models on a shared fleet of workers.
+//! The decisions of a dispatcher for many small models on a shared fleet of workers: which worker gets each
+//! request, and when a model is loaded or unloaded.
 //!
-//! The core is sans-I/O: the host hands it [`Event`]s with the time, and carries out the
-//! [`Action`]s that it answers. It holds no clock, thread, socket or global.
+//! The crate is sans-I/O: the caller passes [`Event`]s with the current time to a [`Dispatcher`] and executes
+//! the [`Action`]s that it returns. The crate has no clock, thread, socket or global state of its own.
 //!
 //! ```
 //! use cresswheel::{Action, Class, Dispatcher, Effect, Event, ListNews, Request, Settings};
--- a/src/pairs.rs
+++ b/src/pairs.rs
@@ -1,5 +1,5 @@
-//! Settings as pairs of a path and a text, such as `limits.max_attempts=5`: the form in which the bench and the
-//! operators' platform give them. Keys that nobody asks for are passed over.
+//! Settings as key-value pairs of strings, such as `limits.max_attempts=5`: the form in which the simulator
+//! and the platform's configuration provide them. Unknown keys are ignored.
 
 use std::borrow::Cow;
 use std::collections::BTreeMap;
@@ -7,22 +7,22 @@
 
 use crate::interface::*;
 
-/// Paths and their texts, in any order.
+/// Settings by path, such as `limits.max_attempts`, with their values as text.
 #[derive(Clone, Debug, Default)]
 pub struct Pairs<'a>(BTreeMap<Cow<'a, str>, Cow<'a, str>>);
 
-/// A pair that is missing or whose text can't be read.
+/// A setting that is missing or has an invalid value.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PairError {
-    /// It is not there.
+    /// A required setting is missing.
     #[error("no {0}")]
     Absent(String),
-    /// Its text means nothing.
+    /// The value can't be parsed.
     #[error("bad {path}: {text}")]
     Bad {
-        /// Its path.
+        /// The setting's path.
         path: String,
-        /// Its text.
+        /// The value as it was given.
         text: String,
     },
 }
@@ -34,45 +34,45 @@
 }
 
 impl Pairs<'_> {
-    /// The text under a path.
+    /// The value at a path, if there is one.
     pub fn get(&self, path: &str) -> Option<&str> {
         self.0.get(path).map(|text| &**text)
     }
 
-    /// The text under a path that must be there.
+    /// The value at a required path.
     pub fn text(&self, path: &str) -> Result<&str, PairError> {
         self.get(path).ok_or_else(|| PairError::Absent(path.into()))
     }
 
-    /// A number that must be there.
+    /// The number at a required path.
     pub fn number(&self, path: &str) -> Result<u64, PairError> {
         self.optional(path)?.ok_or_else(|| PairError::Absent(path.into()))
     }
 
-    /// A value, if it is there.
+    /// The parsed value at a path, if there is one.
     pub fn optional<T: FromStr>(&self, path: &str) -> Result<Option<T>, PairError> {
-        let bad = |text: &str| PairError::Bad { path: path.into(), text: text.into() };
-        self.get(path).map(|text| text.parse().map_err(|_| bad(text))).transpose()
+        let invalid = |text: &str| PairError::Bad { path: path.into(), text: text.into() };
+        self.get(path).map(|text| text.parse().map_err(|_| invalid(text))).transpose()
     }
 
-    /// A value, or another where it is absent.
-    pub fn or<T: FromStr>(&self, path: &str, absent: T) -> Result<T, PairError> {
-        Ok(self.optional(path)?.unwrap_or(absent))
+    /// The parsed value at a path, or a default if there is none.
+    pub fn or<T: FromStr>(&self, path: &str, default: T) -> Result<T, PairError> {
+        Ok(self.optional(path)?.unwrap_or(default))
     }
 
-    /// Whether a flag is set.
+    /// Whether the value at a path is `1` or `true`.
     pub fn flag(&self, path: &str) -> bool {
         matches!(self.get(path), Some("1" | "true"))
     }
 
-    /// Texts set apart by commas.
+    /// The items of a comma-separated value; none if the path is missing.
     pub fn list(&self, path: &str) -> Vec<&str> {
         self.get(path).unwrap_or("").split(',').filter(|item| !item.is_empty()).collect()
     }
 
-    /// The module's settings among them.
+    /// The settings of the decision module.
     pub fn settings(&self) -> Result<Settings, PairError> {
-        let absent = Settings::default();
+        let defaults = Settings::default();
         let mut classes = Vec::new();
         for at in 0..self.or("profiles.count", 0)? {
             let key = |name: &str| format!("profiles.{at}.{name}");
@@ -103,47 +103,47 @@
             });
         }
         let window = self.or("specifics.load_span", 0)?;
-        let ration = OrderRation {
+        let order_limit = OrderRation {
             window,
             free: self.or("specifics.loads_anyway", 0.0)?,
             per_request: self.or("specifics.loads_per_request", 0.0)?,
         };
-        let memory = self.list("specifics.kind_memory_mb").into_iter();
-        let memory = memory.map(|text| text.parse().unwrap_or(0.0));
+        let memory_mb = self.list("specifics.kind_memory_mb").into_iter();
+        let memory_mb = memory_mb.map(|text| text.parse().unwrap_or(0.0));
         Ok(Settings {
-            gateways: self.or("balancers", absent.gateways)?,
+            gateways: self.or("balancers", defaults.gateways)?,
             zone: self.get("zone").unwrap_or("").into(),
-            tick: self.or("tick", absent.tick)?,
+            tick: self.or("tick", defaults.tick)?,
             classes,
             tenants,
-            over_quota_worth: self.or("over_share_worth", absent.over_quota_worth)?,
+            over_quota_worth: self.or("over_share_worth", defaults.over_quota_worth)?,
             must_follow: self.get("discovery") == Some("subscribe"),
-            ask_within: self.or("rules.ask_within", absent.ask_within)?,
-            keep_alive: self.or("specifics.keep_alive", absent.keep_alive)?,
+            ask_within: self.or("rules.ask_within", defaults.ask_within)?,
+            keep_alive: self.or("specifics.keep_alive", defaults.keep_alive)?,
             when_absent: match self.get("specifics.when_absent") {
                 Some("miss") => WhenAbsent::Miss,
                 _ => WhenAbsent::Load,
             },
             may_order: self.flag("specifics.may_load"),
             tells_crowd: self.flag("specifics.counts_alike"),
-            ration: (window > 0).then_some(ration),
-            most_instances: absent.most_instances,
-            order_timeout: self.or("specifics.load_wait", absent.order_timeout)?,
+            ration: (window > 0).then_some(order_limit),
+            most_instances: defaults.most_instances,
+            order_timeout: self.or("specifics.load_wait", defaults.order_timeout)?,
             may_cancel: self.flag("limits.cancel"),
             may_probe: self.flag("limits.probes"),
             may_duplicate: self.flag("limits.may_duplicate"),
-            max_attempts: self.or("limits.max_attempts", absent.max_attempts)?,
+            max_attempts: self.or("limits.max_attempts", defaults.max_attempts)?,
             retry_after: self.flag("limits.retry_after"),
-            max_retry_after: self.or("limits.max_retry_after", absent.max_retry_after)?,
-            connect_timeout: self.or("limits.connect_timeout", absent.connect_timeout)?,
-            drain_grace: self.or("rules.drain_grace", absent.drain_grace)?,
+            max_retry_after: self.or("limits.max_retry_after", defaults.max_retry_after)?,
+            connect_timeout: self.or("limits.connect_timeout", defaults.connect_timeout)?,
+            drain_grace: self.or("rules.drain_grace", defaults.drain_grace)?,
             cold: ColdStart {
-                from: self.or("rules.cold_from", absent.cold.from)?,
-                warm_up: self.or("rules.warm_up", absent.cold.warm_up)?,
-                multiple: self.or("rules.tip_multiple", absent.cold.multiple)?,
-                window: self.or("rules.fall", absent.cold.window)?,
+                from: self.or("rules.cold_from", defaults.cold.from)?,
+                warm_up: self.or("rules.warm_up", defaults.cold.warm_up)?,
+                multiple: self.or("rules.tip_multiple", defaults.cold.multiple)?,
+                window: self.or("rules.fall", defaults.cold.window)?,
             },
-            kind_memory_mb: self.list("kinds").into_iter().map(String::from).zip(memory).collect(),
+            kind_memory_mb: self.list("kinds").into_iter().map(String::from).zip(memory_mb).collect(),
         })
     }
 }
