--- a/src/bin/cresswheel-simhost/main.rs
+++ b/src/bin/cresswheel-simhost/main.rs
@@ -1,4 +1,7 @@
-//! The adapter: hosts instances of the decision module on the bench's wire. It decides nothing.
+//! Adapter between the simulator and the decision module.
+//!
+//! Reads batches of lines (`FRAME` ... `GO`) from standard input, passes each event to the instance of the
+//! module that it names, and writes the resulting actions, ended by `YIELD`, to standard output.
 
 mod wire;
 
@@ -8,11 +11,12 @@
 use std::process::ExitCode;
 
 use cresswheel::{Action, Dispatcher, Event};
-use wire::{Line, Names};
+use wire::{Line, NameIndex};
 
+/// One simulated gateway.
 struct Instance {
     dispatcher: Dispatcher,
-    names: Names,
+    indices: NameIndex,
 }
 
 fn main() -> ExitCode {
@@ -25,13 +29,14 @@
     }
 }
 
+/// Handles batches until the end of the input. Fails on malformed input.
 fn serve(input: &mut impl BufRead, output: &mut impl Write) -> Result<(), String> {
     let mut instances: BTreeMap<u32, Instance> = BTreeMap::new();
-    let mut lists = BTreeMap::new();
+    let mut worker_lists = BTreeMap::new();
     let mut text = String::new();
     let mut reply = String::new();
     loop {
-        if !read(input, &mut text)? {
+        if !read_line(input, &mut text)? {
             return Ok(());
         }
         let frame = Line::parse(&text);
@@ -44,17 +49,17 @@
         let now = frame.number("clock")?;
         reply.clear();
         loop {
-            if !read(input, &mut text)? {
+            if !read_line(input, &mut text)? {
                 return Err("FRAME: the input ended within a batch".into());
             }
             let line = Line::parse(&text);
             match line.name {
                 "GO" => break,
                 "CENSUS" => {
-                    let (number, rows) = (line.number("ref")?, line.number("rows")?);
+                    let (list_id, rows) = (line.number("ref")?, line.number("rows")?);
                     let mut entries = Vec::new();
                     for _ in 0..rows {
-                        if !read(input, &mut text)? {
+                        if !read_line(input, &mut text)? {
                             return Err("CENSUS: the input ended within rows".into());
                         }
                         let entry = Line::parse(&text);
@@ -63,28 +68,29 @@
                         }
                         entries.push(wire::entry(&entry)?);
                     }
-                    lists.insert(number, entries);
+                    worker_lists.insert(list_id, entries);
                 }
                 "ATTACH" => {
-                    let number = line.number("i")? as u32;
+                    let instance_id = line.number("i")? as u32;
                     let settings = wire::settings(&line)?;
-                    let names = Names::of(&settings);
+                    let indices = NameIndex::of(&settings);
                     match Dispatcher::new(settings, line.number("entropy")?) {
                         Ok(dispatcher) => {
-                            instances.insert(number, Instance { dispatcher, names });
+                            instances.insert(instance_id, Instance { dispatcher, indices });
                         }
-                        Err(error) => wire::broken(&mut reply, number, &error.to_string()),
+                        Err(error) => wire::write_failure(&mut reply, instance_id, &error.to_string()),
                     }
                 }
                 "CRASH_NOW" => {
                     instances.remove(&(line.number("i")? as u32));
                 }
                 _ => {
-                    let Some(number) = line.get("i") else { continue };
-                    let number: u32 = number.parse().map_err(|_| format!("{}: bad i", line.name))?;
-                    let Some(instance) = instances.get_mut(&number) else { continue };
-                    if let Some(event) = wire::event(&line, &instance.names, &lists)? {
-                        act(now, number, instance, event, &mut reply);
+                    let Some(instance_id) = line.get("i") else { continue };
+                    let instance_id: u32 =
+                        instance_id.parse().map_err(|_| format!("{}: bad i", line.name))?;
+                    let Some(instance) = instances.get_mut(&instance_id) else { continue };
+                    if let Some(event) = wire::event(&line, &instance.indices, &worker_lists)? {
+                        handle_event(now, instance_id, instance, event, &mut reply);
                     }
                 }
             }
@@ -94,20 +100,22 @@
     }
 }
 
-fn act(now: u64, number: u32, instance: &mut Instance, event: Event, reply: &mut String) {
+/// Passes an event to an instance and writes its actions. A panic of the module is reported as a `BROKEN` line.
+fn handle_event(now: u64, instance_id: u32, instance: &mut Instance, event: Event, reply: &mut String) {
     let mut actions: Vec<Action> = Vec::new();
     let handled = catch_unwind(AssertUnwindSafe(|| instance.dispatcher.handle(now, event, &mut actions)));
     match handled {
-        Ok(()) => actions.iter().for_each(|action| wire::action(reply, number, action)),
+        Ok(()) => actions.iter().for_each(|action| wire::write_action(reply, instance_id, action)),
         Err(panic) => {
             let text = panic.downcast_ref::<String>().map(String::as_str);
             let text = text.or_else(|| panic.downcast_ref::<&str>().copied()).unwrap_or("panic");
-            wire::broken(reply, number, text);
+            wire::write_failure(reply, instance_id, text);
         }
     }
 }
 
-fn read(input: &mut impl BufRead, text: &mut String) -> Result<bool, String> {
+/// Reads one line without its line end; false at the end of the input.
+fn read_line(input: &mut impl BufRead, text: &mut String) -> Result<bool, String> {
     text.clear();
     let read = input.read_line(text).map_err(|error| format!("input: {error}"))?;
     while text.ends_with(['\n', '\r']) {
--- a/src/bin/cresswheel-simhost/wire.rs
+++ b/src/bin/cresswheel-simhost/wire.rs
@@ -1,4 +1,4 @@
-//! Lines of the wire to events and settings, actions to lines.
+//! The simulator's line protocol: parses lines into events and settings, and writes actions as lines.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -8,7 +8,7 @@
     Action, Event, ListNews, Outcome, PairError, Pairs, Request, Settings, WorkerEntry, WorkerState,
 };
 
-/// One line: its name, and its fields in any order.
+/// One line: its name and its `key=value` fields, in any order.
 pub struct Line<'a> {
     pub name: &'a str,
     fields: Pairs<'a>,
@@ -21,7 +21,8 @@
         Self { name, fields: parts.filter_map(|part| part.split_once('=')).collect() }
     }
 
-    fn named<T>(&self, result: Result<T, PairError>) -> Result<T, String> {
+    /// Adds the name of the line to an error.
+    fn with_name<T>(&self, result: Result<T, PairError>) -> Result<T, String> {
         result.map_err(|error| format!("{}: {error}", self.name))
     }
 
@@ -30,19 +31,19 @@
     }
 
     fn text(&self, field: &str) -> Result<&str, String> {
-        self.named(self.fields.text(field))
+        self.with_name(self.fields.text(field))
     }
 
     pub fn number(&self, field: &str) -> Result<u64, String> {
-        self.named(self.fields.number(field))
+        self.with_name(self.fields.number(field))
     }
 
     fn optional<T: FromStr>(&self, field: &str) -> Result<Option<T>, String> {
-        self.named(self.fields.optional(field))
+        self.with_name(self.fields.optional(field))
     }
 
-    fn or<T: FromStr>(&self, field: &str, absent: T) -> Result<T, String> {
-        self.named(self.fields.or(field, absent))
+    fn or<T: FromStr>(&self, field: &str, default: T) -> Result<T, String> {
+        self.with_name(self.fields.or(field, default))
     }
 
     fn flag(&self, field: &str) -> bool {
@@ -50,24 +51,26 @@
     }
 }
 
-/// Positions of the names that requests use.
-pub struct Names {
+/// Indices of classes and tenants in the settings, by name.
+pub struct NameIndex {
     classes: BTreeMap<String, usize>,
     tenants: BTreeMap<String, usize>,
 }
 
-impl Names {
+impl NameIndex {
     pub fn of(settings: &Settings) -> Self {
-        let classes = settings.classes.iter().enumerate().map(|(at, class)| (class.name.clone(), at));
-        let tenants = settings.tenants.iter().enumerate().map(|(at, tenant)| (tenant.name.clone(), at));
+        let classes = settings.classes.iter().enumerate().map(|(index, class)| (class.name.clone(), index));
+        let tenants = settings.tenants.iter().enumerate().map(|(index, tenant)| (tenant.name.clone(), index));
         Self { classes: classes.collect(), tenants: tenants.collect() }
     }
 }
 
+/// The settings of an `ATTACH` line.
 pub fn settings(line: &Line) -> Result<Settings, String> {
-    line.named(line.fields.settings())
+    line.with_name(line.fields.settings())
 }
 
+/// The worker of an `ENTRY` line.
 pub fn entry(line: &Line) -> Result<WorkerEntry, String> {
     Ok(WorkerEntry {
         id: line.text("host")?.into(),
@@ -79,21 +82,23 @@
             "LAME" => WorkerState::Draining,
             _ => WorkerState::Out,
         },
-        started: line.optional("born")?.filter(|at| *at > 0),
+        started: line.optional("born")?.filter(|time| *time > 0),
     })
 }
 
+/// The event of a line; `None` for a line that means nothing to the module. `worker_lists` has the lists
+/// received so far, by their `ref`.
 pub fn event(
     line: &Line,
-    names: &Names,
-    lists: &BTreeMap<u64, Vec<WorkerEntry>>,
+    indices: &NameIndex,
+    worker_lists: &BTreeMap<u64, Vec<WorkerEntry>>,
 ) -> Result<Option<Event>, String> {
     let request = || line.text("request_id").map(Into::into);
     Ok(Some(match line.name {
         "SUBMIT" => Event::Arrived(Request {
             id: request()?,
-            class: names.classes.get(line.text("class")?).copied().unwrap_or(usize::MAX),
-            tenant: line.get("team").and_then(|team| names.tenants.get(team).copied()),
+            class: indices.classes.get(line.text("class")?).copied().unwrap_or(usize::MAX),
+            tenant: line.get("team").and_then(|team| indices.tenants.get(team).copied()),
             function: line.text("callee")?.into(),
             time_left: line.number("time_left")?,
             memory_mb: line.optional("footprint_mb")?,
@@ -119,7 +124,10 @@
         "DISCOVERY" => {
             let entries = || {
                 let number = line.number("ref")?;
-                lists.get(&number).cloned().ok_or_else(|| format!("DISCOVERY: ref names no list: {number}"))
+                worker_lists
+                    .get(&number)
+                    .cloned()
+                    .ok_or_else(|| format!("DISCOVERY: ref names no list: {number}"))
             };
             Event::List(match line.text("mode")? {
                 "lost" => ListNews::Lost,
@@ -155,8 +163,8 @@
     })
 }
 
-/// One action, on a line of its own.
-pub fn action(reply: &mut String, i: u32, action: &Action) {
+/// Writes one action as a line.
+pub fn write_action(reply: &mut String, i: u32, action: &Action) {
     let written = match action {
         Action::Send { request, worker, timeout } => {
             writeln!(reply, "HAND_OFF i={i} request_id={request} host={worker} within={timeout}")
@@ -173,7 +181,7 @@
         }
         Action::Drop { worker, function } => writeln!(reply, "EVICT i={i} host={worker} callee={function}"),
         Action::Probe { worker } => writeln!(reply, "CHECK i={i} host={worker}"),
-        // The bench keeps nothing by functions.
+        // The simulator keeps no state per function.
         Action::Forget(_) => Ok(()),
         Action::Follow => writeln!(reply, "KEEP_INFORMED i={i} want=1"),
         Action::WakeAfter(span) => writeln!(reply, "REMIND i={i} from_now={span} tag=wake"),
@@ -182,8 +190,8 @@
     debug_assert!(written.is_ok(), "a string takes any text");
 }
 
-/// The decision code has failed.
-pub fn broken(reply: &mut String, i: u32, text: &str) {
+/// Writes a `BROKEN` line: an instance could not be created or has panicked.
+pub fn write_failure(reply: &mut String, i: u32, text: &str) {
     let text = text.replace(['\n', '\r'], " ");
     let written = writeln!(reply, "BROKEN i={i} what={text}");
     debug_assert!(written.is_ok(), "a string takes any text");
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,5 +1,5 @@
-//! The public types of the decision module: its [`Settings`], the [`Event`]s that it takes and the [`Action`]s
-//! that it returns.
+//! The public types of the decision module: its [`Settings`], the [`Event`]s that it takes and the
+//! [`Action`]s that it returns.
 //!
 //! This file has data types only. Durations and points in time are in microseconds of the caller's clock.
 
@@ -175,7 +175,7 @@
     pub max_retry_after: Micros,
     /// Timeout for establishing a connection.
     pub connect_timeout: Micros,
-    /// How long new work may still be sent to a worker that drains or has left the list; the module sends none.
+    /// How long new work may still be sent to a worker that drains or has left; the module sends none.
     pub drain_grace: Micros,
     /// Slow start of workers that have just started.
     pub cold: ColdStart,
