--- a/crates/measure/src/lib.rs
+++ b/crates/measure/src/lib.rs
@@ -1,7 +1,7 @@
-//! What the measuring programs under `examples/` share: processor time, resident memory, repeated runs, and the
-//! straight line through them.
+//! Helpers of the measuring programs under `examples/`: CPU time, resident memory, and linear fits of
+//! repeated runs.
 //!
-//! Nothing here reads the wall clock. `docs/CAPACITY.md` is made of what these programs print.
+//! Nothing here reads the wall clock. `docs/CAPACITY.md` is based on the output of these programs.
 
 mod line;
 mod process;
--- a/crates/measure/src/line.rs
+++ b/crates/measure/src/line.rs
@@ -1,24 +1,24 @@
-//! Repeated runs at several quantities, and the straight line through them.
+//! Linear fits of a measured value against a quantity, from repeated runs.
 
 use std::fmt;
 
-/// The least, the middle and the greatest of several runs.
+/// The minimum, median and maximum of several runs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Spread {
-    /// The least.
+    /// The minimum.
     pub least: f64,
     /// The median.
     pub median: f64,
-    /// The greatest.
+    /// The maximum.
     pub greatest: f64,
 }
 
 impl Spread {
-    /// Of these values; all zero if there are none.
+    /// The spread of these values; all zero if there are none.
     pub fn of(values: &[f64]) -> Self {
         let mut sorted = values.to_vec();
         sorted.sort_by(f64::total_cmp);
-        let at = |place: usize| sorted.get(place).copied().unwrap_or(0.0);
+        let at = |index: usize| sorted.get(index).copied().unwrap_or(0.0);
         Self { least: at(0), median: at(sorted.len() / 2), greatest: at(sorted.len().saturating_sub(1)) }
     }
 }
@@ -29,7 +29,7 @@
     }
 }
 
-/// Four digits that count.
+/// The value with about four significant digits.
 fn short(value: f64) -> String {
     let digits = match value.abs() {
         x if x >= 1_000.0 => 0,
@@ -41,24 +41,24 @@
     format!("{value:.digits$}")
 }
 
-/// `fixed + slope x quantity`.
+/// A linear function: `fixed + slope * quantity`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Line {
     /// The value at quantity 0.
     pub fixed: f64,
-    /// Growth by one of the quantity.
+    /// Increase of the value per unit of the quantity.
     pub slope: f64,
 }
 
 impl Line {
-    /// The line of least squares through the points; with fewer than two quantities a level one.
+    /// The least-squares fit of the points; its slope is 0 if there are fewer than two distinct quantities.
     pub fn through(points: &[(f64, f64)]) -> Self {
         let count = points.len().max(1) as f64;
         let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
         let mean_y = points.iter().map(|(_, y)| y).sum::<f64>() / count;
-        let spread = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum::<f64>();
-        let common = points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y)).sum::<f64>();
-        let slope = if spread > 0.0 { common / spread } else { 0.0 };
+        let sum_xx = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum::<f64>();
+        let sum_xy = points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y)).sum::<f64>();
+        let slope = if sum_xx > 0.0 { sum_xy / sum_xx } else { 0.0 };
         Self { fixed: mean_y - slope * mean_x, slope }
     }
 
@@ -68,10 +68,10 @@
     }
 }
 
-/// A residual beyond this part of the measured value makes a line none.
-const STRAIGHT: f64 = 0.15;
+/// Largest relative residual at which a series still counts as linear.
+const MAX_RELATIVE_RESIDUAL: f64 = 0.15;
 
-/// One figure measured at several quantities, several times at each.
+/// A value measured at several quantities, several times at each.
 #[derive(Clone, Debug)]
 pub struct Series {
     name: String,
@@ -81,7 +81,7 @@
 }
 
 impl Series {
-    /// Nothing measured yet. `quantity` names what the figure may grow with.
+    /// An empty series. `quantity` names what the value may grow with.
     pub fn new(name: &str, unit: &str, quantity: &str) -> Self {
         Self { name: name.into(), unit: unit.into(), quantity: quantity.into(), points: Vec::new() }
     }
@@ -91,13 +91,13 @@
         self.points.push((quantity as f64, runs));
     }
 
-    /// The line through the medians.
+    /// The linear fit of the medians.
     pub fn line(&self) -> Line {
         let medians = self.points.iter().map(|(x, runs)| (*x, Spread::of(runs).median));
         Line::through(&medians.collect::<Vec<_>>())
     }
 
-    /// The slopes of the lines through the first runs, the second runs and so on.
+    /// The slopes of the fits of the first runs, the second runs and so on.
     pub fn slopes(&self) -> Spread {
         let runs = self.points.iter().map(|(_, runs)| runs.len()).min().unwrap_or(0);
         let of_run = |run: usize| {
@@ -107,21 +107,21 @@
         Spread::of(&(0..runs).map(of_run).collect::<Vec<_>>())
     }
 
-    /// The median that lies furthest from the line, as a part of itself, and its quantity. Only the upper half of the
-    /// quantities counts: below it the fixed part and chance outweigh the slope.
-    pub fn furthest(&self) -> (f64, f64) {
+    /// The largest residual of a median, relative to the median, and its quantity. Only the upper half of the
+    /// quantities counts: below it the fixed part and noise outweigh the slope.
+    pub fn worst_residual(&self) -> (f64, f64) {
         let line = self.line();
         let upper = &self.points[self.points.len() / 2..];
-        let distances = upper.iter().map(|(x, runs)| {
+        let residuals = upper.iter().map(|(x, runs)| {
             let median = Spread::of(runs).median;
             ((line.at(*x) - median).abs() / median.abs().max(f64::MIN_POSITIVE), *x)
         });
-        distances.max_by(|a, b| a.0.total_cmp(&b.0)).unwrap_or((0.0, 0.0))
+        residuals.max_by(|a, b| a.0.total_cmp(&b.0)).unwrap_or((0.0, 0.0))
     }
 
-    /// Whether the line describes what was measured.
+    /// Whether the linear fit describes the measured values.
     pub fn is_straight(&self) -> bool {
-        self.furthest().0 <= STRAIGHT
+        self.worst_residual().0 <= MAX_RELATIVE_RESIDUAL
     }
 }
 
@@ -131,9 +131,9 @@
         for (x, runs) in &self.points {
             writeln!(f, "  {x:>8}  {}", Spread::of(runs))?;
         }
-        let (distance, at) = self.furthest();
+        let (residual, at) = self.worst_residual();
         let (line, verdict) = (self.line(), if self.is_straight() { "a line" } else { "NO LINE" });
         write!(f, "  {verdict}: fixed {}, slope {}; ", short(line.fixed), self.slopes())?;
-        writeln!(f, "furthest residual {:.1}% at {at}", distance * 100.0)
+        writeln!(f, "furthest residual {:.1}% at {at}", residual * 100.0)
     }
 }
--- a/crates/measure/src/process.rs
+++ b/crates/measure/src/process.rs
@@ -1,4 +1,4 @@
-//! Processor time and memory, by the system's own count.
+//! CPU time and memory, as the kernel accounts them.
 
 use std::io;
 use std::process::Command;
@@ -8,13 +8,13 @@
 use nix::unistd::Pid;
 use rustix::time::{ClockId, clock_gettime};
 
-/// Processor time that this thread has used.
+/// CPU time used by this thread.
 pub fn thread_time() -> Duration {
     let time = clock_gettime(ClockId::ThreadCPUTime);
     Duration::new(time.tv_sec as u64, time.tv_nsec as u32)
 }
 
-/// Processor time that all threads of a process have used, those that have ended among them.
+/// CPU time used by all threads of a process, including threads that have ended.
 pub fn processor_time_of(process: u32) -> io::Result<Duration> {
     let process = i32::try_from(process).map_err(|_| io::ErrorKind::NotFound)?;
     let time = clock_getcpuclockid(Pid::from_raw(process))?.now()?;
@@ -34,8 +34,8 @@
     kilobytes.map(|kilobytes| kilobytes * 1024.0).ok_or(io::ErrorKind::InvalidData.into())
 }
 
-/// Runs this program once more with these arguments and reads the number that it prints last. Memory is measured in a
-/// process of its own each time: what an allocator keeps from an earlier run would hide the next one's growth.
+/// Runs this program again with these arguments and parses the last line of its output as a number. Each
+/// measurement of memory needs a process of its own: what the allocator keeps of an earlier run would hide growth.
 pub fn value_of_child(arguments: &[String]) -> io::Result<f64> {
     let output = Command::new(std::env::current_exe()?).args(arguments).output()?;
     let text = String::from_utf8_lossy(&output.stdout);
--- a/crates/measure/tests/line.rs
+++ b/crates/measure/tests/line.rs
@@ -1,11 +1,11 @@
-//! A planted line is found, a planted square is not taken for one.
+//! Linear fits of generated series: a linear one is recognized, a quadratic one is rejected.
 
 use cresswheel_measure::{Line, Series, Spread};
 
 const QUANTITIES: [usize; 4] = [100, 1_000, 4_000, 18_000];
 
-fn series(value: impl Fn(f64) -> f64) -> Series {
-    let mut series = Series::new("planted", "us", "functions");
+fn generated_series(value: impl Fn(f64) -> f64) -> Series {
+    let mut series = Series::new("generated", "us", "functions");
     for quantity in QUANTITIES {
         let value = value(quantity as f64);
         series.add(quantity, vec![value * 0.99, value, value * 1.01]);
@@ -14,8 +14,8 @@
 }
 
 #[test]
-fn a_planted_line_is_found() {
-    let series = series(|x| 50.0 + 3.0 * x);
+fn fits_a_linear_series() {
+    let series = generated_series(|x| 50.0 + 3.0 * x);
     let line = series.line();
     assert!((line.slope - 3.0).abs() < 1e-9 && (line.fixed - 50.0).abs() < 1e-6, "{line:?}");
     let slopes = series.slopes();
@@ -25,14 +25,14 @@
 }
 
 #[test]
-fn a_planted_square_is_no_line() {
-    let series = series(|x| 0.01 * x * x);
+fn rejects_a_quadratic_series() {
+    let series = generated_series(|x| 0.01 * x * x);
     assert!(!series.is_straight());
     assert!(series.to_string().contains("NO LINE"));
 }
 
 #[test]
-fn few_values_are_no_panic() {
+fn handles_empty_and_single_values() {
     assert_eq!(Spread::of(&[]), Spread { least: 0.0, median: 0.0, greatest: 0.0 });
     assert_eq!(Spread::of(&[3.0, 1.0]).median, 3.0);
     assert_eq!(Line::through(&[(5.0, 2.0)]).at(9.0), 2.0);
