--- a/crates/measure/src/process.rs
+++ b/crates/measure/src/process.rs
@@ -35,7 +35,7 @@
 }
 
 /// Runs this program again with these arguments and parses the last line of its output as a number. Each
-/// measurement of memory needs a process of its own: what the allocator keeps of an earlier run would hide growth.
+/// measurement of memory needs a new process: what the allocator keeps of an earlier run would hide growth.
 pub fn value_of_child(arguments: &[String]) -> io::Result<f64> {
     let output = Command::new(std::env::current_exe()?).args(arguments).output()?;
     let text = String::from_utf8_lossy(&output.stdout);
--- a/src/bin/cresswheel-simhost/main.rs
+++ b/src/bin/cresswheel-simhost/main.rs
@@ -100,7 +100,8 @@
     }
 }
 
-/// Passes an event to an instance and writes its actions. A panic of the module is reported as a `BROKEN` line.
+/// Passes an event to an instance and writes its actions. A panic of the module is reported as a `BROKEN`
+/// line.
 fn handle_event(now: u64, instance_id: u32, instance: &mut Instance, event: Event, reply: &mut String) {
     let mut actions: Vec<Action> = Vec::new();
     let handled = catch_unwind(AssertUnwindSafe(|| instance.dispatcher.handle(now, event, &mut actions)));
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,13 +1,15 @@
-//! What the tests share: settings, a small stand-in for the host, and the checker of the five rules.
+//! Shared test helpers: settings, a small test harness, and a checker of the module's invariants.
 #![allow(dead_code)]
 
-pub mod streams;
+pub mod sequences;
 
 use std::collections::{BTreeMap, VecDeque};
 
 use cresswheel::*;
 
+/// One second.
 pub const S: Micros = 1_000_000;
+/// One millisecond.
 pub const MS: Micros = 1_000;
 
 pub fn class(name: &str, effect: Effect) -> Class {
@@ -44,6 +46,7 @@
     }
 }
 
+/// A worker in service, by its number.
 pub fn worker(number: usize) -> WorkerEntry {
     WorkerEntry {
         id: WorkerId::from(format!("10.0.0.{number}:9000").as_str()),
@@ -55,10 +58,12 @@
     }
 }
 
+/// A complete list of this many workers.
 pub fn workers(count: usize) -> Event {
     Event::List(ListNews::Whole((1..=count).map(worker).collect()))
 }
 
+/// A request with five seconds left, for a function of 500 MB with a concurrency of 4 per instance.
 pub fn request(id: &str, class: usize, function: &str) -> Request {
     Request {
         id: id.into(),
@@ -72,6 +77,7 @@
     }
 }
 
+/// The end of an attempt after 100 ms.
 pub fn ended(id: &str, attempt: usize, worker: &WorkerId, outcome: Outcome) -> Event {
     Event::Ended {
         request: id.into(),
@@ -85,57 +91,60 @@
     }
 }
 
-pub fn held(worker: &WorkerId, function: &str, outcome: Outcome, elapsed: Micros) -> Event {
+/// The answer to a prewarm order of one instance.
+pub fn prewarm_answer(worker: &WorkerId, function: &str, outcome: Outcome, elapsed: Micros) -> Event {
     let standing = u32::from(outcome == Outcome::Ok);
     Event::Held { worker: worker.clone(), function: function.into(), outcome, elapsed, standing }
 }
 
-/// A dispatcher, its clock, and the checker watching both streams.
-pub struct Bench {
+/// A dispatcher with a simulated clock, and a checker of its events and actions.
+pub struct Harness {
     pub dispatcher: Dispatcher,
     pub now: Micros,
     pub checker: Checker,
     wake: Option<Micros>,
 }
 
-impl Bench {
+impl Harness {
     pub fn new(settings: Settings) -> Self {
         Self::seeded(settings, 7)
     }
 
     pub fn seeded(settings: Settings, seed: u64) -> Self {
         let checker = Checker::new(settings.clone());
-        let dispatcher = Dispatcher::new(settings, seed).expect("sensible settings");
+        let dispatcher = Dispatcher::new(settings, seed).expect("valid settings");
         Self { dispatcher, now: 0, checker, wake: None }
     }
 
-    pub fn give(&mut self, event: Event) -> Vec<Action> {
+    /// Passes an event to the dispatcher and returns its actions.
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.checker.event(self.now, &event);
         self.dispatcher.handle(self.now, event, &mut actions);
         for action in &actions {
             self.checker.action(self.now, action);
-            if let Action::WakeAfter(span) = action {
-                let at = self.now + span;
+            if let Action::WakeAfter(delay) = action {
+                let at = self.now + delay;
                 self.wake = Some(self.wake.map_or(at, |wake| wake.min(at)));
             }
         }
         actions
     }
 
-    /// Moves the clock, with the wake-ups on the way.
+    /// Advances the clock and fires the wake-ups that fall due.
     pub fn run_to(&mut self, until: Micros) -> Vec<Action> {
         let mut actions = Vec::new();
         while let Some(at) = self.wake.filter(|at| *at <= until) {
             self.now = self.now.max(at) + self.checker.settings.tick;
             self.wake = None;
-            actions.extend(self.give(Event::Wake));
+            actions.extend(self.handle(Event::Wake));
         }
         self.now = self.now.max(until);
         actions
     }
 }
 
+/// The attempts sent, as requests and workers.
 pub fn sends(actions: &[Action]) -> Vec<(RequestId, WorkerId)> {
     let send = |a: &Action| match a {
         Action::Send { request, worker, .. } => Some((request.clone(), worker.clone())),
@@ -144,7 +153,8 @@
     actions.iter().filter_map(send).collect()
 }
 
-pub fn holds(actions: &[Action]) -> Vec<(WorkerId, FunctionId)> {
+/// The prewarm orders, as workers and functions.
+pub fn prewarm_orders(actions: &[Action]) -> Vec<(WorkerId, FunctionId)> {
     let hold = |a: &Action| match a {
         Action::Hold { worker, function, count } if *count > 0 => Some((worker.clone(), function.clone())),
         _ => None,
@@ -152,24 +162,32 @@
     actions.iter().filter_map(hold).collect()
 }
 
-struct Taken {
+struct RequestRecord {
     request: Request,
     deadline: Micros,
-    over: bool,
+    finished: bool,
+    /// The worker, the time of sending, and the outcome once there is one.
     attempts: Vec<(WorkerId, Micros, Option<Outcome>)>,
 }
 
-/// The five rules over one gateway's events and actions. What it finds is in `broken`.
+/// Checks the events and actions of one gateway against the invariants, and collects violations:
+///
+/// 1. Each request gets one final answer by its deadline.
+/// 2. A request that may have run is not retried or refused unless its [`Effect`] allows that.
+/// 3. No work and no prewarm order goes to a worker that drains or is not listed.
+/// 4. A cold worker is not sent more work than slow start allows.
+/// 5. Prewarm orders stay within their rate limit.
 pub struct Checker {
     pub settings: Settings,
-    pub broken: Vec<String>,
-    taken: BTreeMap<RequestId, Taken>,
-    barred: BTreeMap<WorkerId, Micros>,
+    pub violations: Vec<String>,
+    requests: BTreeMap<RequestId, RequestRecord>,
+    /// Since when a worker drains or is out of service.
+    unavailable_since: BTreeMap<WorkerId, Micros>,
     listed: BTreeMap<WorkerId, WorkerEntry>,
     orders: VecDeque<Micros>,
     calls: VecDeque<Micros>,
     cold_sends: BTreeMap<WorkerId, VecDeque<Micros>>,
-    /// Requests a second that one warm worker can do, for the fourth rule.
+    /// Requests per second that one warm worker can handle, for the check of cold workers.
     pub worker_rate: f64,
 }
 
@@ -177,9 +195,9 @@
     pub fn new(settings: Settings) -> Self {
         Self {
             settings,
-            broken: Vec::new(),
-            taken: BTreeMap::new(),
-            barred: BTreeMap::new(),
+            violations: Vec::new(),
+            requests: BTreeMap::new(),
+            unavailable_since: BTreeMap::new(),
             listed: BTreeMap::new(),
             orders: VecDeque::new(),
             calls: VecDeque::new(),
@@ -192,49 +210,55 @@
         self.settings.classes.get(request.class).map_or(Effect::Unsafe, |c| c.effect)
     }
 
+    /// Records an event.
     pub fn event(&mut self, now: Micros, event: &Event) {
-        for (id, taken) in &self.taken {
-            if !taken.over && now > taken.deadline + 8 * MS {
-                self.broken.push(format!("lost: {id}"));
+        for (id, record) in &self.requests {
+            if !record.finished && now > record.deadline + 8 * MS {
+                self.violations.push(format!("lost: {id}"));
             }
         }
-        self.taken.retain(|_, t| now <= t.deadline + 20 * S);
+        self.requests.retain(|_, record| now <= record.deadline + 20 * S);
         match event {
             Event::Arrived(request) => {
                 self.calls.push_back(now);
                 let deadline = now + request.time_left;
-                let taken = Taken { request: request.clone(), deadline, over: false, attempts: Vec::new() };
-                self.taken.entry(request.id.clone()).or_insert(taken);
+                let record = RequestRecord {
+                    request: request.clone(),
+                    deadline,
+                    finished: false,
+                    attempts: Vec::new(),
+                };
+                self.requests.entry(request.id.clone()).or_insert(record);
             }
             Event::Ended { request, attempt, outcome, answered, .. } => {
-                if let Some(taken) = self.taken.get_mut(request) {
-                    if let Some(attempt) = taken.attempts.get_mut(*attempt) {
+                if let Some(record) = self.requests.get_mut(request) {
+                    if let Some(attempt) = record.attempts.get_mut(*attempt) {
                         attempt.2.get_or_insert(*outcome);
                     }
-                    taken.over |= answered;
+                    record.finished |= answered;
                 }
             }
             Event::Gone(request) => {
-                self.taken.entry(request.clone()).and_modify(|t| t.over = true);
+                self.requests.entry(request.clone()).and_modify(|record| record.finished = true);
             }
-            Event::List(news) => {
-                let (entries, whole) = match news {
+            Event::List(update) => {
+                let (entries, complete) = match update {
                     ListNews::Whole(entries) => (entries.clone(), true),
                     ListNews::Changes(entries) => (entries.clone(), false),
                     ListNews::Lost => return,
                 };
-                if whole {
+                if complete {
                     for id in self.listed.keys() {
                         if !entries.iter().any(|e| e.id == *id) {
-                            self.barred.entry(id.clone()).or_insert(now);
+                            self.unavailable_since.entry(id.clone()).or_insert(now);
                         }
                     }
                 }
                 for entry in entries {
                     if entry.state == WorkerState::In {
-                        self.barred.remove(&entry.id);
+                        self.unavailable_since.remove(&entry.id);
                     } else {
-                        self.barred.entry(entry.id.clone()).or_insert(now);
+                        self.unavailable_since.entry(entry.id.clone()).or_insert(now);
                     }
                     self.listed.insert(entry.id.clone(), entry);
                 }
@@ -243,86 +267,90 @@
         }
     }
 
+    /// Checks an action.
     pub fn action(&mut self, now: Micros, action: &Action) {
         let mut found = Vec::new();
         match action {
             Action::Send { request, worker, .. } => found.extend(self.send(now, request, worker)),
             Action::Refuse { request, .. } | Action::Fail { request } => {
                 let refused = matches!(action, Action::Refuse { .. });
-                match self.taken.get(request) {
+                match self.requests.get(request) {
                     None => found.push(format!("answers the unknown {request}")),
-                    Some(taken) if taken.over => found.push(format!("answers {request} twice")),
-                    Some(taken) => {
-                        let whole = match self.effect(&taken.request) {
+                    Some(record) if record.finished => found.push(format!("answers {request} twice")),
+                    Some(record) => {
+                        let may_retry = match self.effect(&record.request) {
                             Effect::Safe | Effect::Keyed { group: Group::All, .. } => true,
-                            _ => taken.attempts.iter().all(|a| a.2.is_some_and(Outcome::never_ran)),
+                            _ => record.attempts.iter().all(|a| a.2.is_some_and(Outcome::never_ran)),
                         };
-                        if refused && !whole {
+                        if refused && !may_retry {
                             found.push(format!("refuses {request}, which may have run"));
                         }
                     }
                 }
-                self.taken.entry(request.clone()).and_modify(|t| t.over = true);
+                self.requests.entry(request.clone()).and_modify(|record| record.finished = true);
             }
             Action::Hold { worker, count, .. } if *count > 0 => {
-                if !self.listed.contains_key(worker) || self.is_barred(now, worker) {
+                if !self.listed.contains_key(worker) || self.is_unavailable(now, worker) {
                     found.push(format!("orders a load on {worker}, which drains or is gone"));
                 }
                 self.orders.push_back(now);
-                if let Some(ration) = &self.settings.ration {
-                    let since = now.saturating_sub(ration.window);
+                if let Some(limit) = &self.settings.ration {
+                    let since = now.saturating_sub(limit.window);
                     let orders = self.orders.iter().filter(|at| **at >= since).count() as f64;
                     let calls = self.calls.iter().filter(|at| **at >= since).count() as f64;
-                    if orders > ration.free + ration.per_request * calls {
-                        found.push("orders more loads than the ration".into());
+                    if orders > limit.free + limit.per_request * calls {
+                        found.push("orders more loads than the rate limit".into());
                     }
                 }
             }
             _ => {}
         }
-        self.broken.extend(found);
+        self.violations.extend(found);
     }
 
-    fn is_barred(&self, now: Micros, worker: &WorkerId) -> bool {
-        self.barred.get(worker).is_some_and(|at| now > at + self.settings.drain_grace)
+    fn is_unavailable(&self, now: Micros, worker: &WorkerId) -> bool {
+        self.unavailable_since.get(worker).is_some_and(|at| now > at + self.settings.drain_grace)
     }
 
+    /// Checks and records an attempt.
     fn send(&mut self, now: Micros, id: &RequestId, to: &WorkerId) -> Vec<String> {
         let mut found = Vec::new();
-        if self.is_barred(now, to) || !self.listed.contains_key(to) {
+        if self.is_unavailable(now, to) || !self.listed.contains_key(to) {
             found.push(format!("sends to {to}, which drains or is gone"));
         }
-        let Some(taken) = self.taken.get(id) else { return vec![format!("sends the unknown {id}")] };
-        if taken.over {
-            found.push(format!("sends {id}, which is over"));
+        let Some(record) = self.requests.get(id) else { return vec![format!("sends the unknown {id}")] };
+        if record.finished {
+            found.push(format!("sends {id}, which is finished"));
         }
-        if taken.attempts.len() >= self.settings.max_attempts {
+        if record.attempts.len() >= self.settings.max_attempts {
             found.push(format!("sends {id} too often"));
         }
-        if !self.settings.may_duplicate && taken.attempts.iter().any(|a| a.2.is_none()) {
-            found.push(format!("has two attempts of {id} out"));
+        if !self.settings.may_duplicate && record.attempts.iter().any(|a| a.2.is_none()) {
+            found.push(format!("has two attempts of {id} in flight"));
         }
-        for (worker, sent, outcome) in &taken.attempts {
+        for (worker, sent, outcome) in &record.attempts {
             if outcome.is_some_and(Outcome::never_ran) {
                 continue;
             }
-            match self.effect(&taken.request) {
+            match self.effect(&record.request) {
                 Effect::Safe => {}
                 Effect::Unsafe => found.push(format!("sends the unsafe {id} again")),
                 Effect::Keyed { group, memory } => {
                     let (from, to) = (&self.listed[worker], &self.listed[to]);
-                    let near = match group {
+                    let same_group = match group {
                         Group::All => true,
                         Group::Zone => from.zone == to.zone,
                         Group::Cell => from.cell == to.cell,
                     };
-                    if !near || now > sent + memory {
-                        found.push(format!("sends the keyed {id} outside its group or its time"));
+                    if !same_group || now > sent + memory {
+                        found.push(format!(
+                            "sends the keyed {id} outside its group or after its deduplication time"
+                        ));
                     }
                 }
             }
         }
-        self.taken.entry(id.clone()).and_modify(|t| t.attempts.push((to.clone(), now, None)));
+        self.requests.entry(id.clone()).and_modify(|record| record.attempts.push((to.clone(), now, None)));
         let cold = self.settings.cold;
         if let Some(start) = self.listed.get(to).and_then(|w| w.started)
             && now < start + cold.warm_up
@@ -336,7 +364,7 @@
             let capacity = self.worker_rate * (cold.from + (1.0 - cold.from) * age.min(1.0));
             let budget = cold.multiple * capacity * cold.window as f64 / 1e6;
             if window.len() as f64 > budget / f64::from(self.settings.gateways) {
-                found.push(format!("pushes the cold {to} over"));
+                found.push(format!("overloads the cold {to}"));
             }
         }
         found
@@ -344,8 +372,8 @@
 }
 
 impl Checker {
-    /// Whether the request still lacks its final answer.
-    pub fn open(&self, id: &RequestId) -> bool {
-        self.taken.get(id).is_some_and(|t| !t.over)
+    /// Whether the request has no final answer yet.
+    pub fn is_open(&self, id: &RequestId) -> bool {
+        self.requests.get(id).is_some_and(|record| !record.finished)
     }
 }
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -1,27 +1,29 @@
-//! One test for each thing the module must do, at its public interface.
+//! Tests of single decisions of the module, through its public interface.
 
 mod common;
 
 use common::*;
 use cresswheel::*;
 
-fn arrive(bench: &mut Bench, id: &str, class: usize, function: &str) -> Vec<Action> {
-    bench.give(Event::Arrived(request(id, class, function)))
+/// Passes a request and returns the actions.
+fn arrive(harness: &mut Harness, id: &str, class: usize, function: &str) -> Vec<Action> {
+    harness.handle(Event::Arrived(request(id, class, function)))
 }
 
-/// Answers the hold orders among the actions: the instances stand.
-fn stand(bench: &mut Bench, actions: &[Action]) {
-    for (worker, function) in holds(actions) {
-        bench.give(held(&worker, &function.0, Outcome::Ok, 2 * MS));
+/// Answers the prewarm orders among the actions: the instances are loaded.
+fn confirm_prewarm_orders(harness: &mut Harness, actions: &[Action]) {
+    for (worker, function) in prewarm_orders(actions) {
+        harness.handle(prewarm_answer(&worker, &function.0, Outcome::Ok, 2 * MS));
     }
 }
 
-fn home_of(bench: &mut Bench, function: &str) -> WorkerId {
-    sends(&arrive(bench, &format!("probe-{function}"), 0, function))[0].1.clone()
+/// The worker to which the first request of a function is sent.
+fn home_of(harness: &mut Harness, function: &str) -> WorkerId {
+    sends(&arrive(harness, &format!("probe-{function}"), 0, function))[0].1.clone()
 }
 
 #[test]
-fn senseless_settings_are_named() {
+fn invalid_settings_are_rejected() {
     let none = Settings { classes: Vec::new(), ..settings() };
     assert_eq!(Dispatcher::new(none, 1).unwrap_err(), SettingsError::NoClasses);
     let tick = Settings { tick: 0, ..settings() };
@@ -29,55 +31,56 @@
 }
 
 #[test]
-fn the_load_timer_holds_the_home_and_the_release_lets_it_go() {
-    let mut bench = Bench::new(settings());
-    bench.give(workers(5));
-    let home = home_of(&mut bench, "f");
-    bench.give(ended("probe-f", 0, &home, Outcome::Ok));
-    bench.now = 8 * S;
-    arrive(&mut bench, "r", 0, "f");
-    bench.give(ended("r", 0, &home, Outcome::Ok));
-    // Two arrivals in 8 s: a call each 4 s, plainly missed after about 11 s, so one renewal is due before.
-    let actions = bench.run_to(15 * S);
-    assert_eq!(holds(&actions), vec![(home.clone(), "f".into())]);
-    stand(&mut bench, &actions);
-    assert!(holds(&bench.run_to(60 * S)).is_empty(), "renewals stop at the release");
+fn prewarm_orders_are_renewed_until_the_forecast_expires() {
+    let mut harness = Harness::new(settings());
+    harness.handle(workers(5));
+    let home = home_of(&mut harness, "f");
+    harness.handle(ended("probe-f", 0, &home, Outcome::Ok));
+    harness.now = 8 * S;
+    arrive(&mut harness, "r", 0, "f");
+    harness.handle(ended("r", 0, &home, Outcome::Ok));
+    // Two arrivals in 8 s make a forecast of one call every 4 s. It expires about 11 s after the last call,
+    // so one renewal falls due before.
+    let actions = harness.run_to(15 * S);
+    assert_eq!(prewarm_orders(&actions), vec![(home.clone(), "f".into())]);
+    confirm_prewarm_orders(&mut harness, &actions);
+    assert!(prewarm_orders(&harness.run_to(60 * S)).is_empty(), "renewals stop when the forecast expires");
 }
 
 #[test]
-fn a_missed_preload_is_dropped_only_if_it_found_none_and_served_none() {
+fn an_unused_prewarmed_instance_is_unloaded_and_a_used_one_is_not() {
     for used in [false, true] {
-        let mut bench = Bench::new(settings());
-        bench.give(workers(5));
-        let home = home_of(&mut bench, "f");
-        bench.give(ended("probe-f", 0, &home, Outcome::Full));
-        bench.give(Event::Gone("probe-f".into()));
-        bench.now = 4 * S;
+        let mut harness = Harness::new(settings());
+        harness.handle(workers(5));
+        let home = home_of(&mut harness, "f");
+        harness.handle(ended("probe-f", 0, &home, Outcome::Full));
+        harness.handle(Event::Gone("probe-f".into()));
+        harness.now = 4 * S;
         let id = "r";
-        let to = sends(&arrive(&mut bench, id, 0, "f"))[0].1.clone();
-        bench.give(ended(id, 0, &to, Outcome::Miss));
-        bench.give(Event::Gone(id.into()));
-        let ordered = holds(&bench.run_to(6 * S));
-        assert!(!ordered.is_empty(), "the forecast orders a load");
+        let to = sends(&arrive(&mut harness, id, 0, "f"))[0].1.clone();
+        harness.handle(ended(id, 0, &to, Outcome::Miss));
+        harness.handle(Event::Gone(id.into()));
+        let ordered = prewarm_orders(&harness.run_to(6 * S));
+        assert!(!ordered.is_empty(), "the forecast leads to a prewarm order");
         for (worker, function) in &ordered {
-            bench.give(held(worker, &function.0, Outcome::Ok, 900 * MS));
+            harness.handle(prewarm_answer(worker, &function.0, Outcome::Ok, 900 * MS));
         }
         if used {
-            bench.now += 100 * MS;
-            arrive(&mut bench, "later", 0, "f");
+            harness.now += 100 * MS;
+            arrive(&mut harness, "later", 0, "f");
         }
-        let later = bench.run_to(60 * S);
+        let later = harness.run_to(60 * S);
         let drops = later.iter().filter(|a| matches!(a, Action::Drop { .. })).count();
         assert_eq!(drops > 0, !used, "used: {used}");
     }
 }
 
 #[test]
-fn gateways_agree_on_homes() {
-    let mut one = Bench::seeded(settings(), 1);
-    let mut two = Bench::seeded(settings(), 2);
-    one.give(workers(9));
-    two.give(workers(9));
+fn gateways_agree_on_the_home_of_a_function() {
+    let mut one = Harness::seeded(settings(), 1);
+    let mut two = Harness::seeded(settings(), 2);
+    one.handle(workers(9));
+    two.handle(workers(9));
     for n in 0..40 {
         let function = format!("f{n}");
         assert_eq!(home_of(&mut one, &function), home_of(&mut two, &function));
@@ -85,20 +88,20 @@
 }
 
 #[test]
-fn a_hot_function_reaches_more_workers() {
-    let mut bench = Bench::new(settings());
-    bench.give(workers(8));
+fn a_hot_function_is_spread_over_more_workers() {
+    let mut harness = Harness::new(settings());
+    harness.handle(workers(8));
     let mut used = std::collections::BTreeSet::new();
-    let mut out = std::collections::VecDeque::new();
+    let mut in_flight = std::collections::VecDeque::new();
     for n in 0..600 {
-        let mut actions = bench.run_to(n * 10 * MS);
-        actions.extend(arrive(&mut bench, &n.to_string(), 0, "hot"));
-        stand(&mut bench, &actions);
-        out.extend(sends(&actions));
-        // A call takes 100 ms: ten in flight where an instance runs four.
-        while out.len() > 10 {
-            let (request, worker) = out.pop_front().expect("more than ten");
-            bench.give(ended(&request.0, 0, &worker, Outcome::Ok));
+        let mut actions = harness.run_to(n * 10 * MS);
+        actions.extend(arrive(&mut harness, &n.to_string(), 0, "hot"));
+        confirm_prewarm_orders(&mut harness, &actions);
+        in_flight.extend(sends(&actions));
+        // A call takes 100 ms, so ten are in flight; the concurrency of an instance is four.
+        while in_flight.len() > 10 {
+            let (request, worker) = in_flight.pop_front().expect("more than ten");
+            harness.handle(ended(&request.0, 0, &worker, Outcome::Ok));
             used.insert(worker);
         }
     }
@@ -106,145 +109,146 @@
 }
 
 #[test]
-fn a_miss_orders_the_load_and_the_request_waits_for_it() {
-    let mut bench = Bench::new(Settings { when_absent: WhenAbsent::Miss, ..settings() });
-    bench.give(workers(5));
-    let actions = arrive(&mut bench, "r", 1, "f");
-    let (home, _) = holds(&actions)[0].clone();
+fn a_request_of_an_unloaded_function_orders_the_load_and_waits_for_it() {
+    let mut harness = Harness::new(Settings { when_absent: WhenAbsent::Miss, ..settings() });
+    harness.handle(workers(5));
+    let actions = arrive(&mut harness, "r", 1, "f");
+    let (home, _) = prewarm_orders(&actions)[0].clone();
     assert!(sends(&actions).is_empty());
-    bench.run_to(S);
-    let actions = bench.give(held(&home, "f", Outcome::Ok, S));
+    harness.run_to(S);
+    let actions = harness.handle(prewarm_answer(&home, "f", Outcome::Ok, S));
     assert_eq!(sends(&actions), vec![("r".into(), home)]);
 }
 
 #[test]
 fn every_request_is_answered_by_its_deadline() {
     for outcome in [None, Some(Outcome::Miss), Some(Outcome::Error), Some(Outcome::ConnectFailed)] {
-        let mut bench = Bench::new(settings());
-        bench.give(workers(3));
+        let mut harness = Harness::new(settings());
+        harness.handle(workers(3));
         for class in 0..3 {
-            let actions = arrive(&mut bench, &format!("r{class}"), class, "f");
+            let actions = arrive(&mut harness, &format!("r{class}"), class, "f");
             if let (Some(outcome), Some((id, worker))) = (outcome, sends(&actions).first()) {
-                bench.give(ended(&id.0, 0, worker, outcome));
+                harness.handle(ended(&id.0, 0, worker, outcome));
             }
         }
-        bench.run_to(6 * S);
-        bench.give(Event::Wake);
-        assert!((0..3).all(|class| !bench.checker.open(&format!("r{class}").as_str().into())));
-        assert_eq!(bench.checker.broken, Vec::<String>::new());
+        harness.run_to(6 * S);
+        harness.handle(Event::Wake);
+        assert!((0..3).all(|class| !harness.checker.is_open(&format!("r{class}").as_str().into())));
+        assert_eq!(harness.checker.violations, Vec::<String>::new());
     }
 }
 
 #[test]
-fn no_worker_at_all_ends_in_a_refusal() {
-    let mut bench = Bench::new(settings());
-    bench.give(workers(0));
-    arrive(&mut bench, "r", 1, "f");
-    let actions = bench.run_to(6 * S);
+fn requests_are_refused_when_there_is_no_worker() {
+    let mut harness = Harness::new(settings());
+    harness.handle(workers(0));
+    arrive(&mut harness, "r", 1, "f");
+    let actions = harness.run_to(6 * S);
     assert!(actions.iter().any(|a| matches!(a, Action::Refuse { .. })));
 }
 
 #[test]
-fn an_unsafe_request_that_may_have_run_is_failed_not_repeated() {
-    let mut bench = Bench::new(settings());
-    bench.give(workers(3));
-    let (_, worker) = sends(&arrive(&mut bench, "r", 1, "f"))[0].clone();
-    let actions = bench.give(ended("r", 0, &worker, Outcome::Reset));
+fn an_unsafe_request_that_may_have_run_is_failed_and_not_retried() {
+    let mut harness = Harness::new(settings());
+    harness.handle(workers(3));
+    let (_, worker) = sends(&arrive(&mut harness, "r", 1, "f"))[0].clone();
+    let actions = harness.handle(ended("r", 0, &worker, Outcome::Reset));
     assert!(actions.contains(&Action::Fail { request: "r".into() }));
     assert!(sends(&actions).is_empty());
 }
 
 #[test]
-fn an_unsafe_request_that_never_ran_goes_elsewhere() {
-    let mut bench = Bench::new(settings());
-    bench.give(workers(3));
-    let (_, worker) = sends(&arrive(&mut bench, "r", 1, "f"))[0].clone();
-    let again = sends(&bench.give(ended("r", 0, &worker, Outcome::ConnectFailed)));
+fn an_unsafe_request_that_never_ran_is_retried_on_another_worker() {
+    let mut harness = Harness::new(settings());
+    harness.handle(workers(3));
+    let (_, worker) = sends(&arrive(&mut harness, "r", 1, "f"))[0].clone();
+    let again = sends(&harness.handle(ended("r", 0, &worker, Outcome::ConnectFailed)));
     assert_eq!(again.len(), 1);
     assert_ne!(again[0].1, worker);
 }
 
 #[test]
-fn a_draining_worker_gets_nothing_new() {
-    let mut bench = Bench::new(settings());
-    bench.give(workers(2));
-    let home = home_of(&mut bench, "f");
-    bench.give(ended("probe-f", 0, &home, Outcome::Ok));
+fn a_draining_worker_gets_no_new_work() {
+    let mut harness = Harness::new(settings());
+    harness.handle(workers(2));
+    let home = home_of(&mut harness, "f");
+    harness.handle(ended("probe-f", 0, &home, Outcome::Ok));
     let drained = [worker(1), worker(2)].into_iter().find(|w| w.id == home).expect("a listed worker");
     let entry = WorkerEntry { state: WorkerState::Draining, ..drained };
-    bench.give(Event::List(ListNews::Changes(vec![entry])));
+    harness.handle(Event::List(ListNews::Changes(vec![entry])));
     for n in 1..50 {
-        let actions = bench.run_to(n * 200 * MS);
-        assert!(holds(&actions).iter().all(|(to, _)| *to != home));
-        let actions = arrive(&mut bench, &format!("r{n}"), 0, "f");
+        let actions = harness.run_to(n * 200 * MS);
+        assert!(prewarm_orders(&actions).iter().all(|(to, _)| *to != home));
+        let actions = arrive(&mut harness, &format!("r{n}"), 0, "f");
         assert!(sends(&actions).iter().all(|(_, to)| *to != home));
     }
 }
 
 #[test]
-fn a_fast_failing_worker_attracts_no_traffic_and_is_tried_again_gently() {
-    let mut bench = Bench::new(settings());
-    bench.give(workers(4));
-    let bad = home_of(&mut bench, "f");
-    bench.give(ended("probe-f", 0, &bad, Outcome::Error));
-    let (mut first, mut late) = (0, 0);
+fn a_fast_failing_worker_attracts_no_traffic_and_is_retried_rarely() {
+    let mut harness = Harness::new(settings());
+    harness.handle(workers(4));
+    let bad = home_of(&mut harness, "f");
+    harness.handle(ended("probe-f", 0, &bad, Outcome::Error));
+    let (mut early_attempts, mut late_attempts) = (0, 0);
     for n in 0..400 {
-        let mut actions = bench.run_to(n * 20 * MS);
-        actions.extend(arrive(&mut bench, &format!("r{n}"), 0, "f"));
-        stand(&mut bench, &actions);
+        let mut actions = harness.run_to(n * 20 * MS);
+        actions.extend(arrive(&mut harness, &format!("r{n}"), 0, "f"));
+        confirm_prewarm_orders(&mut harness, &actions);
         for (id, mut to) in sends(&actions) {
             for attempt in 0.. {
-                *(if n < 200 { &mut first } else { &mut late }) += u32::from(to == bad);
+                *(if n < 200 { &mut early_attempts } else { &mut late_attempts }) += u32::from(to == bad);
                 let outcome = if to == bad { Outcome::Error } else { Outcome::Ok };
-                match sends(&bench.give(ended(&id.0, attempt, &to, outcome))).first() {
+                match sends(&harness.handle(ended(&id.0, attempt, &to, outcome))).first() {
                     Some((_, next)) => to = next.clone(),
                     None => break,
                 }
             }
         }
     }
-    assert!(first <= 6, "{first} sends to a worker that fails all");
-    assert!((1..=6).contains(&late), "tried {late} times later on");
+    assert!(early_attempts <= 6, "{early_attempts} attempts at a worker that fails all of them");
+    assert!((1..=6).contains(&late_attempts), "retried {late_attempts} times later");
 }
 
 #[test]
-fn costly_requests_are_not_held_against_a_worker_that_answers_others() {
-    // Found on the busy days of a deployment where some requests cost many times the usual.
-    let mut bench = Bench::new(settings());
-    bench.give(workers(4));
-    let home = home_of(&mut bench, "f");
-    bench.give(ended("probe-f", 0, &home, Outcome::Ok));
+fn timeouts_of_costly_requests_do_not_make_a_worker_suspect_that_answers_others() {
+    // Some requests cost many times the usual; a worker that still answers others is not to blame for their
+    // timeouts.
+    let mut harness = Harness::new(settings());
+    harness.handle(workers(4));
+    let home = home_of(&mut harness, "f");
+    harness.handle(ended("probe-f", 0, &home, Outcome::Ok));
     for n in 0..6 {
         let slow = format!("slow{n}");
-        arrive(&mut bench, &slow, 1, "f");
-        bench.now += 50 * MS;
-        arrive(&mut bench, &format!("r{n}"), 0, "f");
-        bench.give(ended(&format!("r{n}"), 0, &home, Outcome::Ok));
-        bench.give(ended(&slow, 0, &home, Outcome::Timeout));
+        arrive(&mut harness, &slow, 1, "f");
+        harness.now += 50 * MS;
+        arrive(&mut harness, &format!("r{n}"), 0, "f");
+        harness.handle(ended(&format!("r{n}"), 0, &home, Outcome::Ok));
+        harness.handle(ended(&slow, 0, &home, Outcome::Timeout));
     }
-    assert_eq!(home_of(&mut bench, "f"), home);
+    assert_eq!(home_of(&mut harness, "f"), home);
 }
 
 #[test]
-fn when_all_look_bad_the_gateway_still_sends() {
-    let mut bench = Bench::new(settings());
-    bench.give(workers(3));
+fn the_gateway_still_sends_when_all_workers_look_unhealthy() {
+    let mut harness = Harness::new(settings());
+    harness.handle(workers(3));
     let mut sent = 0;
     for n in 0..200 {
-        bench.run_to(n * 50 * MS);
+        harness.run_to(n * 50 * MS);
         let id = format!("r{n}");
-        if let Some((_, to)) = sends(&arrive(&mut bench, &id, 1, "f")).first() {
+        if let Some((_, to)) = sends(&arrive(&mut harness, &id, 1, "f")).first() {
             sent += 1;
-            bench.give(ended(&id, 0, to, Outcome::Reset));
+            harness.handle(ended(&id, 0, to, Outcome::Reset));
         }
     }
     assert!(sent > 100, "{sent} of 200");
 }
 
 #[test]
-fn a_busy_worker_is_limited_and_requests_wait_or_are_refused() {
-    let mut bench = Bench::new(settings());
-    bench.give(workers(1));
+fn a_slow_worker_has_few_requests_in_flight_and_the_others_wait_or_are_refused() {
+    let mut harness = Harness::new(settings());
+    harness.handle(workers(1));
     let slow = |id: &str, to: &WorkerId| Event::Ended {
         request: id.into(),
         attempt: 0,
@@ -257,38 +261,41 @@
     };
     let to = worker(1).id;
     for n in 0..60 {
-        bench.now += 10 * MS;
+        harness.now += 10 * MS;
         let id = format!("r{n}");
-        if !sends(&arrive(&mut bench, &id, 0, "f")).is_empty() {
-            bench.give(slow(&id, &to));
+        if !sends(&arrive(&mut harness, &id, 0, "f")).is_empty() {
+            harness.handle(slow(&id, &to));
         }
     }
-    let mut out = 0;
+    let mut in_flight = 0;
     for n in 0..40 {
-        out += sends(&arrive(&mut bench, &format!("b{n}"), 0, "f")).len();
+        in_flight += sends(&arrive(&mut harness, &format!("b{n}"), 0, "f")).len();
     }
-    assert!(out <= 4, "{out} requests in flight on a worker that answers after five aims");
-    let refused = bench.run_to(bench.now + 2 * S);
+    assert!(
+        in_flight <= 4,
+        "{in_flight} requests in flight on a worker that answers after five latency objectives"
+    );
+    let refused = harness.run_to(harness.now + 2 * S);
     assert!(refused.iter().any(|a| matches!(a, Action::Refuse { .. })));
 }
 
 #[test]
-fn subscribed_lists_are_followed_again_after_a_loss() {
-    let mut bench = Bench::new(Settings { must_follow: true, ask_within: 8 * S, ..settings() });
-    assert!(bench.give(workers(2)).contains(&Action::Follow));
-    bench.give(Event::List(ListNews::Lost));
-    assert!(bench.run_to(8 * S).contains(&Action::Follow));
+fn a_lost_subscription_to_the_worker_list_is_renewed() {
+    let mut harness = Harness::new(Settings { must_follow: true, ask_within: 8 * S, ..settings() });
+    assert!(harness.handle(workers(2)).contains(&Action::Follow));
+    harness.handle(Event::List(ListNews::Lost));
+    assert!(harness.run_to(8 * S).contains(&Action::Follow));
 }
 
 #[test]
-fn absurd_figures_do_not_panic() {
-    let mut bench = Bench::new(settings());
-    bench.give(workers(2));
+fn extreme_values_do_not_panic() {
+    let mut harness = Harness::new(settings());
+    harness.handle(workers(2));
     for n in 0..20 {
-        bench.now += 100 * MS;
+        harness.now += 100 * MS;
         let id = format!("r{n}");
         let endless = Request { time_left: Micros::MAX / 4, lanes: Some(0), ..request(&id, 0, "f") };
-        for (_, worker) in sends(&bench.give(Event::Arrived(endless))) {
+        for (_, worker) in sends(&harness.handle(Event::Arrived(endless))) {
             let outcome = if n % 3 == 0 { Outcome::Full } else { Outcome::Ok };
             let event = ended(&id, 0, &worker, outcome);
             let Event::Ended { request, attempt, worker, outcome, answered, crowd, load_failed, .. } = event
@@ -296,7 +303,7 @@
                 return;
             };
             let elapsed = Micros::MAX;
-            bench.give(Event::Ended {
+            harness.handle(Event::Ended {
                 request,
                 attempt,
                 worker,
@@ -307,66 +314,66 @@
                 load_failed,
             });
         }
-        bench.give(held(&worker(1).id, "f", Outcome::Ok, Micros::MAX));
-        bench.run_to(bench.now + S);
+        harness.handle(prewarm_answer(&worker(1).id, "f", Outcome::Ok, Micros::MAX));
+        harness.run_to(harness.now + S);
     }
-    assert!(bench.checker.broken.is_empty(), "{:?}", bench.checker.broken);
+    assert!(harness.checker.violations.is_empty(), "{:?}", harness.checker.violations);
 }
 
 #[test]
-fn a_miss_does_not_send_the_request_from_worker_to_worker() {
+fn a_missed_request_waits_for_the_load_at_its_home_and_tries_no_other_worker() {
     let many = Settings { gateways: 100, when_absent: WhenAbsent::Miss, ..settings() };
-    let mut bench = Bench::new(many);
-    bench.now = 20 * S;
-    bench.give(workers(8));
-    let home = sends(&arrive(&mut bench, "r", 0, "f"))[0].1.clone();
-    let actions = bench.give(ended("r", 0, &home, Outcome::Miss));
+    let mut harness = Harness::new(many);
+    harness.now = 20 * S;
+    harness.handle(workers(8));
+    let home = sends(&arrive(&mut harness, "r", 0, "f"))[0].1.clone();
+    let actions = harness.handle(ended("r", 0, &home, Outcome::Miss));
     assert!(sends(&actions).is_empty());
-    assert_eq!(holds(&actions), vec![(home, "f".into())], "the home loads it, and it alone");
+    assert_eq!(prewarm_orders(&actions), vec![(home, "f".into())], "only the home loads it");
 }
 
 #[test]
-fn two_arrivals_close_together_make_no_further_homes() {
+fn two_arrivals_close_together_add_no_home() {
     for seed in 0..8 {
-        let mut bench = Bench::seeded(Settings { gateways: 200, ..settings() }, seed);
-        bench.give(workers(8));
-        let home = home_of(&mut bench, "f");
-        bench.give(ended("probe-f", 0, &home, Outcome::Ok));
-        bench.now += 5 * MS;
-        assert_eq!(sends(&arrive(&mut bench, "r", 0, "f"))[0].1, home);
+        let mut harness = Harness::seeded(Settings { gateways: 200, ..settings() }, seed);
+        harness.handle(workers(8));
+        let home = home_of(&mut harness, "f");
+        harness.handle(ended("probe-f", 0, &home, Outcome::Ok));
+        harness.now += 5 * MS;
+        assert_eq!(sends(&arrive(&mut harness, "r", 0, "f"))[0].1, home);
     }
 }
 
 #[test]
-fn one_silent_time_out_makes_a_suspect_for_its_class_alone() {
-    let mut bench = Bench::new(settings());
-    bench.give(workers(4));
-    let home = sends(&arrive(&mut bench, "r", 1, "f"))[0].1.clone();
-    bench.now = 4 * S;
+fn one_timeout_makes_a_worker_suspect_for_its_class_only() {
+    let mut harness = Harness::new(settings());
+    harness.handle(workers(4));
+    let home = sends(&arrive(&mut harness, "r", 1, "f"))[0].1.clone();
+    harness.now = 4 * S;
     let Event::Ended { request, attempt, worker, outcome, answered, crowd, load_failed, .. } =
         ended("r", 0, &home, Outcome::Timeout)
     else {
         return;
     };
     let elapsed = 4 * S;
-    bench.give(Event::Ended { request, attempt, worker, outcome, elapsed, answered, crowd, load_failed });
-    assert_ne!(sends(&arrive(&mut bench, "same", 1, "f"))[0].1, home);
-    assert_eq!(sends(&arrive(&mut bench, "other", 0, "f"))[0].1, home);
+    harness.handle(Event::Ended { request, attempt, worker, outcome, elapsed, answered, crowd, load_failed });
+    assert_ne!(sends(&arrive(&mut harness, "same", 1, "f"))[0].1, home);
+    assert_eq!(sends(&arrive(&mut harness, "other", 0, "f"))[0].1, home);
 }
 
 #[test]
-fn a_load_that_failed_is_no_fault_of_the_worker() {
+fn failed_loads_do_not_make_a_worker_suspect() {
     for failed in [true, false] {
-        let mut bench = Bench::new(settings());
-        bench.give(workers(4));
-        let home = home_of(&mut bench, "f");
-        bench.give(ended("probe-f", 0, &home, Outcome::Ok));
+        let mut harness = Harness::new(settings());
+        harness.handle(workers(4));
+        let home = home_of(&mut harness, "f");
+        harness.handle(ended("probe-f", 0, &home, Outcome::Ok));
         for n in 0..3 {
             let id = format!("r{n}");
-            let Some((_, worker)) = sends(&arrive(&mut bench, &id, 1, "f")).first().cloned() else {
+            let Some((_, worker)) = sends(&arrive(&mut harness, &id, 1, "f")).first().cloned() else {
                 continue;
             };
-            bench.give(Event::Ended {
+            harness.handle(Event::Ended {
                 request: id.as_str().into(),
                 attempt: 0,
                 worker,
@@ -377,272 +384,287 @@
                 load_failed: failed,
             });
         }
-        assert_eq!(sends(&arrive(&mut bench, "next", 1, "f"))[0].1 == home, failed, "failed: {failed}");
+        assert_eq!(sends(&arrive(&mut harness, "next", 1, "f"))[0].1 == home, failed, "failed: {failed}");
     }
 }
 
 #[test]
-fn a_function_whose_calls_are_to_come_is_held_until_then_and_dropped_if_none_came() {
-    let mut bench = Bench::new(settings());
-    bench.give(workers(5));
-    // Its twin is called, which earns the orders.
+fn an_expected_function_is_kept_loaded_and_is_unloaded_if_no_call_comes() {
+    let mut harness = Harness::new(settings());
+    harness.handle(workers(5));
+    // Calls of the old version add to the order budget.
     for n in 0..8 {
-        bench.now = n * S;
-        let id = format!("twin-{n}");
-        let to = sends(&arrive(&mut bench, &id, 0, "f@1"))[0].1.clone();
-        bench.give(ended(&id, 0, &to, Outcome::Ok));
+        harness.now = n * S;
+        let id = format!("old-{n}");
+        let to = sends(&arrive(&mut harness, &id, 0, "f@1"))[0].1.clone();
+        harness.handle(ended(&id, 0, &to, Outcome::Ok));
     }
     let expected = |within| Event::Expected { function: "f@2".into(), like: "f@1".into(), within };
-    let of_new = |actions: &[Action]| -> Vec<WorkerId> {
-        holds(actions)
+    let orders_of_new = |actions: &[Action]| -> Vec<WorkerId> {
+        prewarm_orders(actions)
             .into_iter()
             .filter(|(_, function)| function.0 == "f@2".into())
             .map(|(w, _)| w)
             .collect()
     };
-    let first = of_new(&bench.give(expected(30 * S)));
-    assert_eq!(first.len(), 1, "held at once, at one home");
-    bench.now += 300 * MS;
-    bench.give(held(&first[0], "f@2", Outcome::Ok, 300 * MS));
-    // Told again and again, it is ordered no oftener than it is renewed.
+    let first = orders_of_new(&harness.handle(expected(30 * S)));
+    assert_eq!(first.len(), 1, "prewarmed at once, at one home");
+    harness.now += 300 * MS;
+    harness.handle(prewarm_answer(&first[0], "f@2", Outcome::Ok, 300 * MS));
+    // Repeated notices do not lead to more orders than the renewals do.
     let mut renewed = 0;
     for _ in 0..20 {
-        let until = bench.now + S;
-        let actions = bench.run_to(until);
-        let mut orders = of_new(&actions);
-        orders.extend(of_new(&bench.give(expected(5 * S))));
+        let until = harness.now + S;
+        let actions = harness.run_to(until);
+        let mut orders = orders_of_new(&actions);
+        orders.extend(orders_of_new(&harness.handle(expected(5 * S))));
         renewed += orders.len();
-        orders.iter().for_each(|worker| _ = bench.give(held(worker, "f@2", Outcome::Ok, 300 * MS)));
+        orders
+            .iter()
+            .for_each(|worker| _ = harness.handle(prewarm_answer(worker, "f@2", Outcome::Ok, 300 * MS)));
     }
     assert!((2..=5).contains(&renewed), "{renewed} renewals in twenty seconds");
-    let until = bench.now + 60 * S;
-    let after = bench.run_to(until);
+    let until = harness.now + 60 * S;
+    let after = harness.run_to(until);
     let dropped =
         |action: &Action| matches!(action, Action::Drop { function, .. } if function.0 == "f@2".into());
-    assert!(after.iter().any(dropped), "nobody called it");
-    assert!(of_new(&after).len() <= 1, "no renewal after it is over");
+    assert!(after.iter().any(dropped), "an instance that was not called is unloaded");
+    assert!(orders_of_new(&after).len() <= 1, "no renewal after the expected time");
 }
 
 #[test]
-fn errors_of_a_function_that_no_worker_ever_answered_are_not_booked() {
-    let mut bench = Bench::new(settings());
-    bench.give(workers(5));
-    let bad = home_of(&mut bench, "made-up");
-    let again = sends(&bench.give(ended("probe-made-up", 0, &bad, Outcome::Error)));
-    assert_ne!(again[0].1, bad, "one more try, elsewhere");
-    let last = bench.give(ended("probe-made-up", 1, &again[0].1, Outcome::Error));
-    assert!(last.iter().any(|a| matches!(a, Action::Refuse { .. })), "and no third: {last:?}");
+fn errors_of_a_function_that_was_never_served_do_not_make_a_worker_suspect() {
+    let mut harness = Harness::new(settings());
+    harness.handle(workers(5));
+    let bad = home_of(&mut harness, "made-up");
+    let again = sends(&harness.handle(ended("probe-made-up", 0, &bad, Outcome::Error)));
+    assert_ne!(again[0].1, bad, "one retry, on another worker");
+    let last = harness.handle(ended("probe-made-up", 1, &again[0].1, Outcome::Error));
+    assert!(last.iter().any(|a| matches!(a, Action::Refuse { .. })), "and no third attempt: {last:?}");
     for n in 0..6 {
         let id = format!("m{n}");
-        let to = sends(&arrive(&mut bench, &id, 0, "made-up"))[0].1.clone();
-        bench.give(ended(&id, 0, &to, Outcome::Error));
-        bench.give(Event::Gone(id.as_str().into()));
+        let to = sends(&arrive(&mut harness, &id, 0, "made-up"))[0].1.clone();
+        harness.handle(ended(&id, 0, &to, Outcome::Error));
+        harness.handle(Event::Gone(id.as_str().into()));
     }
-    let same = (0..200).map(|n| format!("f{n}")).find(|name| home_of(&mut bench, name) == bad);
-    assert!(same.is_some(), "the worker is still in service");
+    let other_function = (0..200).map(|n| format!("f{n}")).find(|name| home_of(&mut harness, name) == bad);
+    assert!(other_function.is_some(), "the worker still gets requests");
 }
 
 #[test]
-fn a_load_order_that_fails_at_once_is_not_given_again_at_once() {
+fn a_prewarm_order_that_fails_at_once_is_not_repeated_at_once() {
     for outcome in [Outcome::Error, Outcome::ConnectFailed] {
-        let mut bench = Bench::new(Settings { when_absent: WhenAbsent::Miss, ..settings() });
-        bench.give(workers(1));
-        let first = holds(&arrive(&mut bench, "r", 0, "f"));
+        let mut harness = Harness::new(Settings { when_absent: WhenAbsent::Miss, ..settings() });
+        harness.handle(workers(1));
+        let first = prewarm_orders(&arrive(&mut harness, "r", 0, "f"));
         assert_eq!(first.len(), 1);
-        let began = bench.now;
+        let start = harness.now;
         let mut orders = 0;
-        let mut actions = bench.give(held(&first[0].0, "f", outcome, MS));
-        while bench.now < began + 1_100 * MS {
-            for (worker, function) in holds(&std::mem::take(&mut actions)) {
+        let mut actions = harness.handle(prewarm_answer(&first[0].0, "f", outcome, MS));
+        while harness.now < start + 1_100 * MS {
+            for (worker, function) in prewarm_orders(&std::mem::take(&mut actions)) {
                 orders += 1;
-                actions.extend(bench.give(held(&worker, &function.0, outcome, MS)));
+                actions.extend(harness.handle(prewarm_answer(&worker, &function.0, outcome, MS)));
             }
-            let next = bench.now + 10 * MS;
-            actions.extend(bench.run_to(next));
+            let next = harness.now + 10 * MS;
+            actions.extend(harness.run_to(next));
         }
-        assert_eq!(orders, 0, "{outcome:?}: within two aims");
+        assert_eq!(orders, 0, "{outcome:?}: within two latency objectives");
     }
 }
 
 #[test]
-fn a_worker_without_room_for_loads_gets_no_preload_for_two_aims() {
-    for (outcome, both) in [(Outcome::Ok, true), (Outcome::Full, false)] {
-        let mut bench = Bench::new(settings());
-        bench.give(workers(5));
-        let home = home_of(&mut bench, "f");
-        let other = (0..200).map(|n| format!("g{n}")).find(|name| home_of(&mut bench, name) == home).unwrap();
+fn a_worker_without_capacity_for_loads_gets_no_prewarm_order_for_two_latency_objectives() {
+    for (outcome, both_ordered) in [(Outcome::Ok, true), (Outcome::Full, false)] {
+        let mut harness = Harness::new(settings());
+        harness.handle(workers(5));
+        let home = home_of(&mut harness, "f");
+        let other =
+            (0..200).map(|n| format!("g{n}")).find(|name| home_of(&mut harness, name) == home).unwrap();
         for name in ["f", &other] {
-            bench.give(ended(&format!("probe-{name}"), 0, &home, Outcome::Full));
-            bench.give(Event::Gone(format!("probe-{name}").as_str().into()));
+            harness.handle(ended(&format!("probe-{name}"), 0, &home, Outcome::Full));
+            harness.handle(Event::Gone(format!("probe-{name}").as_str().into()));
         }
-        let mut given: Vec<(Micros, FunctionId)> = Vec::new();
-        bench.now = 4 * S;
-        while given.first().is_none_or(|(first, _)| bench.now < first + 1_150 * MS) && bench.now < 10 * S {
-            let again = [(4_000 * MS, "f"), (4_300 * MS, other.as_str())];
-            let now = bench.now;
-            for (_, name) in again.into_iter().filter(|(at, _)| *at == now) {
-                let to = sends(&arrive(&mut bench, name, 0, name))[0].1.clone();
-                bench.give(ended(name, 0, &to, Outcome::Miss));
-                bench.give(Event::Gone(name.into()));
+        let mut orders: Vec<(Micros, FunctionId)> = Vec::new();
+        harness.now = 4 * S;
+        while orders.first().is_none_or(|(first, _)| harness.now < first + 1_150 * MS) && harness.now < 10 * S
+        {
+            let repeats = [(4_000 * MS, "f"), (4_300 * MS, other.as_str())];
+            let now = harness.now;
+            for (_, name) in repeats.into_iter().filter(|(at, _)| *at == now) {
+                let to = sends(&arrive(&mut harness, name, 0, name))[0].1.clone();
+                harness.handle(ended(name, 0, &to, Outcome::Miss));
+                harness.handle(Event::Gone(name.into()));
             }
-            let next = bench.now + 10 * MS;
-            let mut actions = bench.run_to(next);
-            while let Some((worker, function)) = holds(&actions).into_iter().next() {
-                if worker == home && given.iter().all(|(_, f)| *f != function) {
-                    given.push((bench.now, function.clone()));
+            let next = harness.now + 10 * MS;
+            let mut actions = harness.run_to(next);
+            while let Some((worker, function)) = prewarm_orders(&actions).into_iter().next() {
+                if worker == home && orders.iter().all(|(_, f)| *f != function) {
+                    orders.push((harness.now, function.clone()));
                 }
-                let rest = actions.iter().position(|a| matches!(a, Action::Hold { .. })).unwrap();
-                actions.drain(..=rest);
-                actions.extend(bench.give(held(&worker, &function.0, outcome, MS)));
+                let position = actions.iter().position(|a| matches!(a, Action::Hold { .. })).unwrap();
+                actions.drain(..=position);
+                actions.extend(harness.handle(prewarm_answer(&worker, &function.0, outcome, MS)));
             }
         }
-        assert_eq!(given.len(), if both { 2 } else { 1 }, "{outcome:?}: {given:?}");
+        assert_eq!(orders.len(), if both_ordered { 2 } else { 1 }, "{outcome:?}: {orders:?}");
     }
 }
 
 #[test]
-fn a_refused_client_is_told_when_to_come_back_and_those_refused_together_not_the_same() {
+fn refused_clients_get_retry_delays_that_differ() {
     for allowed in [true, false] {
-        let mut bench = Bench::new(Settings {
+        let mut harness = Harness::new(Settings {
             retry_after: allowed,
             max_retry_after: 2 * S,
             max_attempts: 1,
             ..settings()
         });
-        bench.give(workers(5));
-        let mut times = Vec::new();
+        harness.handle(workers(5));
+        let mut delays = Vec::new();
         for n in 0..20 {
             let id = format!("r{n}");
-            let to = sends(&arrive(&mut bench, &id, 0, &id))[0].1.clone();
-            for action in bench.give(ended(&id, 0, &to, Outcome::Full)) {
+            let to = sends(&arrive(&mut harness, &id, 0, &id))[0].1.clone();
+            for action in harness.handle(ended(&id, 0, &to, Outcome::Full)) {
                 if let Action::Refuse { retry_after, .. } = action {
-                    times.push(retry_after);
+                    delays.push(retry_after);
                 }
             }
         }
-        assert_eq!(times.len(), 20);
-        assert!(times.iter().all(|time| time.is_some() == allowed));
-        let distinct: std::collections::BTreeSet<_> = times.iter().flatten().collect();
-        assert!(!allowed || (distinct.len() > 10 && distinct.iter().all(|time| (1..=2 * S).contains(*time))));
+        assert_eq!(delays.len(), 20);
+        assert!(delays.iter().all(|delay| delay.is_some() == allowed));
+        let distinct: std::collections::BTreeSet<_> = delays.iter().flatten().collect();
+        assert!(
+            !allowed || (distinct.len() > 10 && distinct.iter().all(|delay| (1..=2 * S).contains(*delay)))
+        );
     }
 }
 
 #[test]
-fn functions_and_workers_that_are_gone_leave_nothing_behind() {
-    let mut bench = Bench::new(Settings { gateways: 3, ..settings() });
-    bench.give(workers(3));
-    let (mut known, mut most) = (std::collections::BTreeSet::new(), 0);
+fn the_state_of_departed_workers_and_unused_functions_is_dropped() {
+    let mut harness = Harness::new(Settings { gateways: 3, ..settings() });
+    harness.handle(workers(3));
+    let (mut known, mut max_known) = (std::collections::BTreeSet::new(), 0);
     for n in 0..3_000 {
-        // Every second a worker goes for good and another comes, and ten functions are called that never come again.
+        // Every second a new worker replaces another, and ten functions are called that are not called again.
         if n % 10 == 0 {
             let fleet = (n / 10..n / 10 + 3).map(worker).collect();
-            bench.give(Event::List(ListNews::Whole(fleet)));
+            harness.handle(Event::List(ListNews::Whole(fleet)));
         }
         let (id, function) = (format!("r{n}"), format!("f{n}"));
         known.insert(function.clone());
-        let mut actions = arrive(&mut bench, &id, 0, &function);
+        let mut actions = arrive(&mut harness, &id, 0, &function);
         let outcome = if n % 2 == 0 { Outcome::Ok } else { Outcome::Error };
         for attempt in 0.. {
             let Some((_, to)) = sends(&actions).into_iter().nth(attempt) else { break };
-            actions.extend(bench.give(ended(&id, attempt, &to, outcome)));
+            actions.extend(harness.handle(ended(&id, attempt, &to, outcome)));
         }
-        bench.give(Event::Gone(id.as_str().into()));
-        let next = bench.now + 100 * MS;
-        actions.extend(bench.run_to(next));
+        harness.handle(Event::Gone(id.as_str().into()));
+        let next = harness.now + 100 * MS;
+        actions.extend(harness.run_to(next));
         for action in actions {
             if let Action::Forget(function) = action {
                 assert!(known.remove(&*function.0), "{function} was known");
             }
         }
-        most = most.max(known.len());
+        max_known = max_known.max(known.len());
     }
-    // Those that were served are kept for 16 keep-alives of 10 s, the others for one: 800 and 50, and what is open.
-    assert!(most < 1_000, "{most}");
-    assert!(bench.checker.broken.is_empty(), "{:?}", bench.checker.broken);
-    assert!(format!("{:?}", bench.dispatcher).len() < 3_000_000, "its tables as text");
+    // Functions that were served are kept for 16 keep-alives of 10 s, the others for one: 800 and 50, and
+    // those with requests in flight.
+    assert!(max_known < 1_000, "{max_known}");
+    assert!(harness.checker.violations.is_empty(), "{:?}", harness.checker.violations);
+    assert!(format!("{:?}", harness.dispatcher).len() < 3_000_000, "its tables as text");
 }
 
-/// Functions of which all gateways take this worker for the home.
-fn at_home(worker: &WorkerId, count: usize) -> Vec<String> {
-    let mut bench = Bench::new(settings());
-    bench.give(workers(5));
+/// Names of functions whose home is this worker, at every gateway.
+fn functions_with_home(worker: &WorkerId, count: usize) -> Vec<String> {
+    let mut harness = Harness::new(settings());
+    harness.handle(workers(5));
     let names = (0..).map(|n| format!("g{n}"));
-    names.filter(|name| home_of(&mut bench, name) == *worker).take(count).collect()
+    names.filter(|name| home_of(&mut harness, name) == *worker).take(count).collect()
 }
 
 #[test]
-fn broken_connections_of_a_worker_that_answers_on_others_are_not_booked() {
-    for answers in [true, false] {
-        let mut bench = Bench::new(settings());
-        bench.give(workers(5));
+fn connection_resets_do_not_make_a_worker_suspect_that_answers_on_other_connections() {
+    for answers_others in [true, false] {
+        let mut harness = Harness::new(settings());
+        harness.handle(workers(5));
         let home = worker(1).id;
-        let [f, g] = <[String; 2]>::try_from(at_home(&home, 2)).unwrap();
+        let [f, g] = <[String; 2]>::try_from(functions_with_home(&home, 2)).unwrap();
         for (id, at) in [("first", 0), ("second", 8 * S)] {
-            bench.run_to(at);
-            assert_eq!(sends(&arrive(&mut bench, id, 0, &f))[0].1, home);
-            bench.give(ended(id, 0, &home, Outcome::Ok));
+            harness.run_to(at);
+            assert_eq!(sends(&arrive(&mut harness, id, 0, &f))[0].1, home);
+            harness.handle(ended(id, 0, &home, Outcome::Ok));
         }
-        bench.now = 10 * S;
-        for n in 0..if answers { 6 } else { 2 } {
+        harness.now = 10 * S;
+        for n in 0..if answers_others { 6 } else { 2 } {
             let (broken, good) = (format!("broken{n}"), format!("good{n}"));
             for id in [&broken, &good] {
-                assert_eq!(sends(&arrive(&mut bench, id, 0, &g))[0].1, home, "answers: {answers}, {id}");
+                assert_eq!(
+                    sends(&arrive(&mut harness, id, 0, &g))[0].1,
+                    home,
+                    "answers others: {answers_others}, {id}"
+                );
             }
-            bench.now += 10 * MS;
-            if answers {
-                bench.give(ended(&good, 0, &home, Outcome::Ok));
+            harness.now += 10 * MS;
+            if answers_others {
+                harness.handle(ended(&good, 0, &home, Outcome::Ok));
             }
-            bench.give(ended(&broken, 0, &home, Outcome::Reset));
-            bench.give(Event::Gone(broken.as_str().into()));
+            harness.handle(ended(&broken, 0, &home, Outcome::Reset));
+            harness.handle(Event::Gone(broken.as_str().into()));
         }
-        let next = sends(&arrive(&mut bench, "next", 0, &g))[0].1.clone();
-        assert_eq!(next == home, answers, "two in silence make a suspect, any number beside answers none");
-        let renewed = holds(&bench.run_to(14_900 * MS));
-        let f_held: Vec<_> = renewed.into_iter().filter(|(_, function)| *function.0 == *f).collect();
+        let next = sends(&arrive(&mut harness, "next", 0, &g))[0].1.clone();
+        assert_eq!(
+            next == home,
+            answers_others,
+            "two resets without other answers make a suspect, any number beside answers none"
+        );
+        let renewed = prewarm_orders(&harness.run_to(14_900 * MS));
+        let renewals_of_f: Vec<_> = renewed.into_iter().filter(|(_, function)| *function.0 == *f).collect();
         assert_eq!(
-            f_held.first().map(|(worker, _)| *worker == home),
-            Some(answers),
-            "nor do they move its pre-loads"
+            renewals_of_f.first().map(|(worker, _)| *worker == home),
+            Some(answers_others),
+            "resets beside answers don't move the prewarm orders either"
         );
     }
 }
 
 #[test]
-fn an_order_that_is_answered_clears_what_failed_orders_left() {
-    let mut bench = Bench::new(Settings { when_absent: WhenAbsent::Miss, ..settings() });
-    bench.give(workers(5));
+fn an_answered_prewarm_order_clears_earlier_failures_of_orders() {
+    let mut harness = Harness::new(Settings { when_absent: WhenAbsent::Miss, ..settings() });
+    harness.handle(workers(5));
     let home = worker(1).id;
-    let names = at_home(&home, 5);
-    let order = |bench: &mut Bench, at: Micros, name: &str, outcome: Outcome| {
-        bench.run_to(at);
-        let given = holds(&arrive(bench, &format!("{name}-{at}"), 0, name));
-        assert_eq!(given, [(home.clone(), name.into())]);
-        bench.give(held(&home, name, outcome, 10 * MS))
+    let names = functions_with_home(&home, 5);
+    let order = |harness: &mut Harness, at: Micros, name: &str, outcome: Outcome| {
+        harness.run_to(at);
+        let orders = prewarm_orders(&arrive(harness, &format!("{name}-{at}"), 0, name));
+        assert_eq!(orders, [(home.clone(), name.into())]);
+        harness.handle(prewarm_answer(&home, name, outcome, 10 * MS))
     };
-    let call = |bench: &mut Bench, at: Micros| {
-        bench.run_to(at);
+    let call = |harness: &mut Harness, at: Micros| {
+        harness.run_to(at);
         let id = format!("call-{at}");
-        let mut actions = arrive(bench, &id, 0, &names[0]);
-        if holds(&actions).len() == 1 {
-            actions = bench.give(held(&home, &names[0], Outcome::Ok, 10 * MS));
+        let mut actions = arrive(harness, &id, 0, &names[0]);
+        if prewarm_orders(&actions).len() == 1 {
+            actions = harness.handle(prewarm_answer(&home, &names[0], Outcome::Ok, 10 * MS));
         }
         assert_eq!(sends(&actions)[0].1, home);
-        bench.give(ended(&id, 0, &home, Outcome::Ok));
+        harness.handle(ended(&id, 0, &home, Outcome::Ok));
     };
-    call(&mut bench, 0);
-    order(&mut bench, MS, &names[1], Outcome::Reset);
-    order(&mut bench, 2 * MS, &names[2], Outcome::Reset);
-    call(&mut bench, 8 * S);
-    order(&mut bench, 10 * S, &names[3], Outcome::Ok);
-    order(&mut bench, 11 * S, &names[4], Outcome::Reset);
-    let renewed = holds(&bench.run_to(15 * S));
+    call(&mut harness, 0);
+    order(&mut harness, MS, &names[1], Outcome::Reset);
+    order(&mut harness, 2 * MS, &names[2], Outcome::Reset);
+    call(&mut harness, 8 * S);
+    order(&mut harness, 10 * S, &names[3], Outcome::Ok);
+    order(&mut harness, 11 * S, &names[4], Outcome::Reset);
+    let renewed = prewarm_orders(&harness.run_to(15 * S));
     assert!(renewed.contains(&(home, names[0].as_str().into())), "one failure makes no suspect: {renewed:?}");
 }
 
 #[test]
-fn a_wait_for_a_load_does_not_make_a_worker_look_busy() {
-    let mut bench = Bench::new(settings());
-    bench.give(workers(1));
+fn a_wait_for_a_load_does_not_make_a_worker_look_overloaded() {
+    let mut harness = Harness::new(settings());
+    harness.handle(workers(1));
     let to = worker(1).id;
     let slow = |id: &str| match ended(id, 0, &to, Outcome::Ok) {
         Event::Ended { request, worker, .. } => Event::Ended {
@@ -658,131 +680,150 @@
         other => other,
     };
     for n in 0..60 {
-        bench.now += 10 * MS;
+        harness.now += 10 * MS;
         let id = format!("r{n}");
-        assert_eq!(sends(&arrive(&mut bench, &id, 0, "f")).len(), 1, "{id} is sent at once");
-        // One of ten waited for a load, for more than six aims.
-        bench.give(if n % 10 == 9 { slow(&id) } else { ended(&id, 0, &to, Outcome::Ok) });
+        assert_eq!(sends(&arrive(&mut harness, &id, 0, "f")).len(), 1, "{id} is sent at once");
+        // One of ten waited for a load, for more than six latency objectives.
+        harness.handle(if n % 10 == 9 { slow(&id) } else { ended(&id, 0, &to, Outcome::Ok) });
     }
-    let out: usize = (0..8).map(|n| sends(&arrive(&mut bench, &format!("b{n}"), 0, "f")).len()).sum();
-    assert_eq!(out, 8, "eight in flight on a worker that answers nine of ten in a sixth of the aim");
+    let in_flight: usize = (0..8).map(|n| sends(&arrive(&mut harness, &format!("b{n}"), 0, "f")).len()).sum();
+    assert_eq!(
+        in_flight, 8,
+        "eight in flight on a worker that answers nine of ten in a sixth of the latency objective"
+    );
 }
 
 #[test]
-fn the_first_answer_of_a_seen_instance_tells_the_run_time_whatever_waits_for_loads_told_before() {
-    let mut bench = Bench::new(Settings { gateways: 4, ..settings() });
-    bench.give(workers(1));
+fn the_first_answer_of_a_known_instance_replaces_run_times_measured_during_loads() {
+    let mut harness = Harness::new(Settings { gateways: 4, ..settings() });
+    harness.handle(workers(1));
     let to = worker(1).id;
-    // Four that wait for the load, as peers may have kept an instance, then one on the instance now seen.
-    let patience = |actions: &[Action]| {
+    // Four requests wait for the load, since other gateways may have an instance loaded; a fifth runs on the
+    // instance that is known then.
+    let timeout_of = |actions: &[Action]| {
         let sent = actions.iter().find_map(|a| match a {
             Action::Send { timeout, .. } => Some(*timeout),
             _ => None,
         });
-        sent.expect("it is sent")
+        sent.expect("the request is sent")
     };
     for n in 0..4 {
-        patience(&arrive(&mut bench, &format!("w{n}"), 0, "f"));
+        timeout_of(&arrive(&mut harness, &format!("w{n}"), 0, "f"));
     }
-    bench.run_to(2 * S);
+    harness.run_to(2 * S);
     for (id, elapsed) in [("w0", 2 * S), ("w1", 2 * S), ("w2", 2 * S), ("w3", 2 * S), ("r", 100 * MS)] {
         if id == "r" {
-            assert_eq!(patience(&arrive(&mut bench, id, 0, "f")), 5 * S, "two seconds are a run time so far");
-            bench.run_to(2 * S + elapsed);
+            assert_eq!(
+                timeout_of(&arrive(&mut harness, id, 0, "f")),
+                5 * S,
+                "two seconds count as a run time so far"
+            );
+            harness.run_to(2 * S + elapsed);
         }
         let mut answer = ended(id, 0, &to, Outcome::Ok);
-        if let Event::Ended { elapsed: took, .. } = &mut answer {
-            *took = elapsed;
+        if let Event::Ended { elapsed: time, .. } = &mut answer {
+            *time = elapsed;
         }
-        bench.give(answer);
+        harness.handle(answer);
     }
-    // Eight run times, or two aims where those are more.
-    assert_eq!(patience(&arrive(&mut bench, "after", 0, "f")), 1200 * MS);
-}
-
-/// Keeps so many requests of a function in flight for a while; gives the largest count ordered at each worker.
-fn closed_loop(bench: &mut Bench, out: usize, until: Micros) -> std::collections::BTreeMap<WorkerId, u32> {
-    let (mut flying, mut counts) = (std::collections::VecDeque::new(), std::collections::BTreeMap::new());
-    let mut number = bench.now;
-    while bench.now < until {
-        let next = bench.now + 10 * MS;
-        let mut actions = bench.run_to(next);
-        for _ in flying.len()..out {
+    // Eight run times, or two latency objectives if they are longer.
+    assert_eq!(timeout_of(&arrive(&mut harness, "after", 0, "f")), 1200 * MS);
+}
+
+/// Keeps this many requests of a function in flight until then; gives the most instances ordered at each
+/// worker.
+fn closed_loop(
+    harness: &mut Harness,
+    concurrency: usize,
+    until: Micros,
+) -> std::collections::BTreeMap<WorkerId, u32> {
+    let (mut in_flight, mut counts) = (std::collections::VecDeque::new(), std::collections::BTreeMap::new());
+    let mut number = harness.now;
+    while harness.now < until {
+        let next = harness.now + 10 * MS;
+        let mut actions = harness.run_to(next);
+        for _ in in_flight.len()..concurrency {
             number += 1;
-            actions.extend(arrive(bench, &format!("c{number}"), 0, "hot"));
+            actions.extend(arrive(harness, &format!("c{number}"), 0, "hot"));
         }
         for action in std::mem::take(&mut actions) {
             match action {
-                Action::Send { request, worker, .. } => flying.push_back((bench.now, request, worker)),
+                Action::Send { request, worker, .. } => in_flight.push_back((harness.now, request, worker)),
                 Action::Hold { worker, function, count } => {
-                    let most = counts.entry(worker.clone()).or_insert(0);
-                    *most = count.max(*most);
+                    let largest = counts.entry(worker.clone()).or_insert(0);
+                    *largest = count.max(*largest);
                     let elapsed = 2 * MS;
                     let event =
                         Event::Held { worker, function, outcome: Outcome::Ok, elapsed, standing: count };
-                    actions.extend(bench.give(event));
+                    actions.extend(harness.handle(event));
                 }
                 _ => {}
             }
         }
-        while flying.front().is_some_and(|(sent, ..)| sent + 100 * MS <= bench.now) {
-            let (_, request, worker) = flying.pop_front().expect("one is there");
-            bench.give(ended(&request.0, 0, &worker, Outcome::Ok));
+        while in_flight.front().is_some_and(|(sent, ..)| sent + 100 * MS <= harness.now) {
+            let (_, request, worker) = in_flight.pop_front().expect("it has a first one");
+            harness.handle(ended(&request.0, 0, &worker, Outcome::Ok));
         }
     }
     counts
 }
 
 #[test]
-fn a_function_hotter_than_its_homes_gets_more_instances_at_each_and_with_homes_to_spare_one() {
-    for (count, most) in [(1, 16), (1, 4), (2, 16), (40, 16)] {
-        let mut bench = Bench::new(Settings { most_instances: most, ..settings() });
-        bench.give(workers(count));
-        let counts = closed_loop(&mut bench, 20, 6 * S);
+fn a_hot_function_gets_more_instances_per_worker_only_if_it_has_too_few_homes() {
+    for (worker_count, most_instances) in [(1, 16), (1, 4), (2, 16), (40, 16)] {
+        let mut harness = Harness::new(Settings { most_instances, ..settings() });
+        harness.handle(workers(worker_count));
+        let counts = closed_loop(&mut harness, 20, 6 * S);
         let largest = counts.values().max().copied().unwrap_or(0);
-        // Twenty at work on lanes of four, planned at a third: seventeen homes.
-        match (count, most) {
-            (1, 4) => assert_eq!(largest, 4, "no order names more than may be"),
+        // Twenty requests in flight on instances with a concurrency of four, planned at a third: seventeen
+        // homes.
+        match (worker_count, most_instances) {
+            (1, 4) => assert_eq!(largest, 4, "no order exceeds most_instances"),
             (1, _) => assert!((5..=16).contains(&largest), "{counts:?}"),
-            (2, _) => assert!((3..=10).contains(&largest), "its part of them at each: {counts:?}"),
-            _ => assert!(largest <= 1, "homes to spare: {counts:?}"),
+            (2, _) => assert!((3..=10).contains(&largest), "each home has its part of them: {counts:?}"),
+            _ => assert!(largest <= 1, "enough homes: {counts:?}"),
         }
-        // As the forecast falls, what is renewed is one again.
-        let quiet = closed_loop(&mut bench, 1, 16 * S);
-        let later = closed_loop(&mut bench, 1, 26 * S);
+        // When the forecast has fallen, renewals order one instance again.
+        let quiet = closed_loop(&mut harness, 1, 16 * S);
+        let later = closed_loop(&mut harness, 1, 26 * S);
         assert!(later.values().all(|count| *count <= 1), "{quiet:?}, then {later:?}");
     }
 }
 
 #[test]
-fn calls_that_are_taken_back_earn_no_loads_and_an_order_that_waits_for_its_connection_is_within_the_ration() {
-    let ration = Some(OrderRation { window: 10 * S, free: 1.0, per_request: 0.5 });
+fn canceled_calls_do_not_add_to_the_order_budget_and_orders_count_while_they_may_wait_for_a_connection() {
+    let order_limit = Some(OrderRation { window: 10 * S, free: 1.0, per_request: 0.5 });
     let (when_absent, connect_timeout) = (WhenAbsent::Miss, 250 * MS);
-    let mut bench = Bench::new(Settings { when_absent, ration, connect_timeout, ..settings() });
-    bench.give(workers(5));
+    let mut harness =
+        Harness::new(Settings { when_absent, ration: order_limit, connect_timeout, ..settings() });
+    harness.handle(workers(5));
     let mut orders = Vec::new();
     for n in 0..100 {
-        orders.extend(holds(&arrive(&mut bench, &format!("flood-{n}"), 0, &format!("f{n}"))));
-        bench.give(Event::Gone(format!("flood-{n}").as_str().into()));
+        orders.extend(prewarm_orders(&arrive(&mut harness, &format!("flood-{n}"), 0, &format!("f{n}"))));
+        harness.handle(Event::Gone(format!("flood-{n}").as_str().into()));
     }
-    assert_eq!(orders.len(), 1, "the one that is free");
+    assert_eq!(orders.len(), 1, "the order that is allowed regardless of the traffic");
     let (home, function) = orders.remove(0);
-    bench.give(held(&home, &function.0, Outcome::Ok, 300 * MS));
+    harness.handle(prewarm_answer(&home, &function.0, Outcome::Ok, 300 * MS));
     for n in 0..2 {
         let id = format!("served-{n}");
-        let sent = sends(&arrive(&mut bench, &id, 0, &function.0));
-        bench.give(ended(&id, 0, &sent[0].1, Outcome::Ok));
+        let sent = sends(&arrive(&mut harness, &id, 0, &function.0));
+        harness.handle(ended(&id, 0, &sent[0].1, Outcome::Ok));
     }
-    assert_eq!(holds(&arrive(&mut bench, "a", 0, "fa")).len(), 1, "two served calls earn one");
-    assert!(holds(&arrive(&mut bench, "b", 0, "fb")).is_empty());
-    bench.give(Event::Gone("a".into()));
-    bench.give(Event::Gone("b".into()));
-    // The first two may have left as late as a connection may take to stand: no sooner than that after the window are
-    // they out of it.
-    bench.run_to(10 * S + 240 * MS);
-    assert!(holds(&arrive(&mut bench, "c", 0, "fc")).is_empty());
-    bench.give(Event::Gone("c".into()));
-    bench.run_to(10 * S + 300 * MS);
-    assert_eq!(holds(&arrive(&mut bench, "d", 0, "fd")).len(), 1);
-    assert!(bench.checker.broken.is_empty(), "{:?}", bench.checker.broken);
+    assert_eq!(
+        prewarm_orders(&arrive(&mut harness, "a", 0, "fa")).len(),
+        1,
+        "two served calls allow one more order"
+    );
+    assert!(prewarm_orders(&arrive(&mut harness, "b", 0, "fb")).is_empty());
+    harness.handle(Event::Gone("a".into()));
+    harness.handle(Event::Gone("b".into()));
+    // The first two orders may have waited for their connections, so they count until a connect timeout after
+    // the window.
+    harness.run_to(10 * S + 240 * MS);
+    assert!(prewarm_orders(&arrive(&mut harness, "c", 0, "fc")).is_empty());
+    harness.handle(Event::Gone("c".into()));
+    harness.run_to(10 * S + 300 * MS);
+    assert_eq!(prewarm_orders(&arrive(&mut harness, "d", 0, "fd")).len(), 1);
+    assert!(harness.checker.violations.is_empty(), "{:?}", harness.checker.violations);
 }
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -1,4 +1,4 @@
-//! Seeded random days: absurd, doubled and late events included, and no rule may break.
+//! Random runs from seeds, with extreme, duplicated and late events: the checker must find no violation.
 
 mod common;
 
@@ -19,8 +19,9 @@
     Outcome::Miss,
 ];
 
-struct Out {
-    due: Micros,
+/// An attempt in flight.
+struct InFlight {
+    ends_at: Micros,
     request: RequestId,
     attempt: usize,
     worker: WorkerId,
@@ -28,15 +29,15 @@
     sent: Micros,
 }
 
-/// Plays a day and returns every action with its time.
-fn day(settings: Settings, seed: u64, doubled: bool) -> (Vec<(Micros, Action)>, Vec<String>) {
+/// Simulates 15 s of events. Returns every action with its time, and the violations that the checker found.
+fn simulate(settings: Settings, seed: u64, faulty_events: bool) -> (Vec<(Micros, Action)>, Vec<String>) {
     let mut rng = Pcg32::new(seed, 1);
     let mut below = move |n: u32| rng.next_u32() % n;
-    let mut bench = Bench::seeded(settings.clone(), seed);
-    // Workers here serve all that comes, about 133 requests a second at most.
-    bench.checker.worker_rate = 133.0;
+    let mut harness = Harness::seeded(settings.clone(), seed);
+    // The simulated workers serve everything they are sent, at most about 133 requests per second.
+    harness.checker.worker_rate = 133.0;
     let mut log = Vec::new();
-    let mut out: Vec<Out> = Vec::new();
+    let mut in_flight: Vec<InFlight> = Vec::new();
     let mut orders: Vec<(Micros, Micros, WorkerId, FunctionId)> = Vec::new();
     let mut attempts = std::collections::BTreeMap::<RequestId, usize>::new();
     let mut list: Vec<WorkerEntry> = (1..=6).map(worker).collect();
@@ -44,39 +45,40 @@
     let mut number = 0;
     for step in 0..3_000u64 {
         let now = step * 5 * MS;
-        let mut actions = bench.run_to(now);
+        let mut actions = harness.run_to(now);
         if below(3) > 0 {
             number += 1;
             let function = format!("f{}", below(12).min(below(12)));
             let mut request = request(&format!("r{number}"), below(4) as usize, &function);
             request.time_left = Micros::from(below(3_000)) * MS;
             pending.push(Event::Arrived(request.clone()));
-            if doubled && below(50) == 0 {
+            if faulty_events && below(50) == 0 {
                 pending.push(Event::Arrived(request));
             }
         }
         if below(40) == 0 {
-            // Also of functions that nobody ever calls.
+            // This includes functions that are never called.
             let (function, like) = (format!("f{}", below(15)), format!("f{}", below(15)));
             let within = Micros::from(below(20_000)) * MS;
             let (function, like) = (function.as_str().into(), like.as_str().into());
             pending.push(Event::Expected { function, like, within });
         }
         if below(80) == 0 {
-            let at = below(6) as usize;
-            list[at].state = [WorkerState::In, WorkerState::Draining, WorkerState::Out][below(3) as usize];
+            let changed = below(6) as usize;
+            list[changed].state =
+                [WorkerState::In, WorkerState::Draining, WorkerState::Out][below(3) as usize];
             if below(2) == 0 {
-                list[at].state = WorkerState::In;
-                list[at].started = Some(now.saturating_sub(Micros::from(below(900)) * MS));
+                list[changed].state = WorkerState::In;
+                list[changed].started = Some(now.saturating_sub(Micros::from(below(900)) * MS));
             }
-            let listed = list.iter().filter(|w| w.state == WorkerState::In).cloned().collect();
+            let in_service = list.iter().filter(|w| w.state == WorkerState::In).cloned().collect();
             pending.push(Event::List(match below(4) {
-                0 => ListNews::Whole(listed),
+                0 => ListNews::Whole(in_service),
                 1 => ListNews::Lost,
-                _ => ListNews::Changes(vec![list[at].clone()]),
+                _ => ListNews::Changes(vec![list[changed].clone()]),
             }));
         }
-        if doubled && below(60) == 0 && number > 3 {
+        if faulty_events && below(60) == 0 && number > 3 {
             let id = format!("r{}", number - below(3));
             pending.push(match below(3) {
                 0 => Event::Gone(id.as_str().into()),
@@ -84,47 +86,48 @@
                 _ => ended("nobody", 9, &list[0].id, Outcome::Ok),
             });
         }
-        out.retain(|o| {
-            if o.due <= now {
+        in_flight.retain(|attempt| {
+            if attempt.ends_at <= now {
                 pending.push(Event::Ended {
-                    request: o.request.clone(),
-                    attempt: o.attempt,
-                    worker: o.worker.clone(),
-                    outcome: o.outcome,
-                    elapsed: now - o.sent,
+                    request: attempt.request.clone(),
+                    attempt: attempt.attempt,
+                    worker: attempt.worker.clone(),
+                    outcome: attempt.outcome,
+                    elapsed: now - attempt.sent,
                     answered: false,
                     crowd: None,
                     load_failed: false,
                 });
             }
-            o.due > now
+            attempt.ends_at > now
         });
         orders.retain(|(due, sent, worker, function)| {
             if *due <= now {
                 let outcome = OUTCOMES[below(3) as usize];
-                pending.push(held(worker, &function.0, outcome, now - sent));
+                pending.push(prewarm_answer(worker, &function.0, outcome, now - sent));
             }
             *due > now
         });
         for mut event in pending.drain(..) {
-            // The host answers the client at the first success.
+            // The client gets its answer at the first success.
             if let Event::Ended { request, outcome: Outcome::Ok, answered, .. } = &mut event {
-                *answered = bench.checker.open(request);
+                *answered = harness.checker.is_open(request);
             } else if let Event::Ended { request, answered, .. } = &mut event {
-                *answered = !bench.checker.open(request);
+                *answered = !harness.checker.is_open(request);
             }
-            actions.extend(bench.give(event));
+            actions.extend(harness.handle(event));
         }
         for action in actions {
             match &action {
                 Action::Send { request, worker, timeout } => {
                     let attempt = attempts.entry(request.clone()).or_default();
-                    let pick = below(14) as usize;
-                    let outcome = OUTCOMES.get(pick).copied().unwrap_or(Outcome::Ok);
-                    let takes = Micros::from(below(400)) * MS + 1;
-                    let due = now + if outcome == Outcome::Timeout { *timeout } else { takes.min(*timeout) };
-                    out.push(Out {
-                        due,
+                    let choice = below(14) as usize;
+                    let outcome = OUTCOMES.get(choice).copied().unwrap_or(Outcome::Ok);
+                    let duration = Micros::from(below(400)) * MS + 1;
+                    let ends_at =
+                        now + if outcome == Outcome::Timeout { *timeout } else { duration.min(*timeout) };
+                    in_flight.push(InFlight {
+                        ends_at,
                         request: request.clone(),
                         attempt: *attempt,
                         worker: worker.clone(),
@@ -142,100 +145,101 @@
             log.push((now, action));
         }
     }
-    bench.run_to(30 * S);
-    bench.give(Event::Wake);
-    (log, bench.checker.broken)
+    harness.run_to(30 * S);
+    harness.handle(Event::Wake);
+    (log, harness.checker.violations)
 }
 
 fn variants() -> Vec<Settings> {
-    let ration = Some(OrderRation { window: 5 * S, free: 4.0, per_request: 0.1 });
+    let order_limit = Some(OrderRation { window: 5 * S, free: 4.0, per_request: 0.1 });
     let base = settings();
     vec![
         base.clone(),
         Settings { when_absent: WhenAbsent::Miss, gateways: 2, ..base.clone() },
-        Settings { ration, drain_grace: 0, max_attempts: 3, ..base.clone() },
-        Settings { when_absent: WhenAbsent::Miss, ration, may_cancel: false, ..base.clone() },
+        Settings { ration: order_limit, drain_grace: 0, max_attempts: 3, ..base.clone() },
+        Settings { when_absent: WhenAbsent::Miss, ration: order_limit, may_cancel: false, ..base.clone() },
         Settings { may_order: false, when_absent: WhenAbsent::Miss, must_follow: true, ..base.clone() },
         Settings { may_duplicate: true, max_attempts: 1, keep_alive: 0, ..base },
     ]
 }
 
 #[test]
-fn no_rule_breaks_on_random_days() {
+fn random_runs_violate_no_invariant() {
     for (number, settings) in variants().into_iter().enumerate() {
         for seed in 0..4 {
-            let (log, broken) = day(settings.clone(), seed, true);
-            assert!(log.len() > 1_000, "a day of settings {number} with little in it");
+            let (log, violations) = simulate(settings.clone(), seed, true);
+            assert!(log.len() > 1_000, "few actions with settings {number}");
             assert!(
-                broken.is_empty(),
+                violations.is_empty(),
                 "settings {number}, seed {seed}: {:?}",
-                &broken[..broken.len().min(5)]
+                &violations[..violations.len().min(5)]
             );
         }
     }
 }
 
 #[test]
-fn same_events_same_actions() {
+fn the_same_events_give_the_same_actions() {
     for settings in variants() {
-        assert_eq!(day(settings.clone(), 3, true).0, day(settings, 3, true).0);
+        assert_eq!(simulate(settings.clone(), 3, true).0, simulate(settings, 3, true).0);
     }
 }
 
 #[test]
-fn instances_share_nothing() {
-    let mut alone = Bench::seeded(settings(), 5);
-    let mut beside = Bench::seeded(settings(), 5);
-    let mut other = Bench::seeded(settings(), 6);
+fn dispatchers_share_no_state() {
+    let mut alone = Harness::seeded(settings(), 5);
+    let mut beside = Harness::seeded(settings(), 5);
+    let mut other = Harness::seeded(settings(), 6);
     for (step, name) in ["f1", "f2", "f1", "f3"].into_iter().cycle().take(400).enumerate() {
         let now = step as Micros * 20 * MS;
         let event = if step == 0 { workers(5) } else { Event::Arrived(request(&step.to_string(), 0, name)) };
         other.run_to(now);
-        other.give(event.clone());
+        other.handle(event.clone());
         assert_eq!(alone.run_to(now), beside.run_to(now));
-        assert_eq!(alone.give(event.clone()), beside.give(event));
+        assert_eq!(alone.handle(event.clone()), beside.handle(event));
     }
 }
 
-/// Each rule's check finds what a dispatcher without that gate would do.
+/// The checker finds what a dispatcher that violates one invariant would do.
 #[test]
-fn the_checker_sees_each_broken_rule() {
+fn the_checker_reports_each_kind_of_violation() {
     let to = worker(1).id;
     let send = |id: &str| Action::Send { request: id.into(), worker: to.clone(), timeout: S };
     let refuse = Action::Refuse { request: "r".into(), retry_after: None };
-    let ration = Some(OrderRation { window: S, free: 1.0, per_request: 0.0 });
+    let order_limit = Some(OrderRation { window: S, free: 1.0, per_request: 0.0 });
     let start = |class| {
-        let mut checker = Checker::new(Settings { ration, ..settings() });
+        let mut checker = Checker::new(Settings { ration: order_limit, ..settings() });
         checker.event(0, &workers(2));
         checker.event(0, &Event::Arrived(request("r", class, "f")));
         checker
     };
-    let finds = |checker: &Checker, text: &str| checker.broken.iter().any(|b| b.contains(text));
+    let reports =
+        |checker: &Checker, text: &str| checker.violations.iter().any(|violation| violation.contains(text));
 
-    let mut lost = start(0);
-    lost.event(6 * S, &Event::Wake);
-    assert!(finds(&lost, "lost"));
+    let mut unanswered = start(0);
+    unanswered.event(6 * S, &Event::Wake);
+    assert!(reports(&unanswered, "lost"));
 
-    let mut twice = start(1);
-    twice.action(0, &send("r"));
-    twice.event(1, &ended("r", 0, &to, Outcome::Timeout));
-    twice.action(2, &send("r"));
-    assert!(finds(&twice, "unsafe r again"));
-    twice.action(3, &refuse);
-    assert!(finds(&twice, "may have run"));
+    let mut repeated = start(1);
+    repeated.action(0, &send("r"));
+    repeated.event(1, &ended("r", 0, &to, Outcome::Timeout));
+    repeated.action(2, &send("r"));
+    assert!(reports(&repeated, "unsafe r again"));
+    repeated.action(3, &refuse);
+    assert!(reports(&repeated, "may have run"));
 
-    let mut two_out = start(0);
-    two_out.action(0, &send("r"));
-    two_out.action(0, &send("r"));
-    assert!(finds(&two_out, "two attempts"));
+    let mut duplicated = start(0);
+    duplicated.action(0, &send("r"));
+    duplicated.action(0, &send("r"));
+    assert!(reports(&duplicated, "two attempts"));
 
     let mut drained = start(0);
     let entry = WorkerEntry { state: WorkerState::Draining, ..worker(1) };
     drained.event(0, &Event::List(ListNews::Changes(vec![entry])));
     drained.action(2 * S, &send("r"));
-    let hold = Action::Hold { worker: to.clone(), function: "f".into(), count: 1 };
-    drained.action(2 * S, &hold);
-    assert!(finds(&drained, "sends to") && finds(&drained, "orders a load on"));
+    let prewarm = Action::Hold { worker: to.clone(), function: "f".into(), count: 1 };
+    drained.action(2 * S, &prewarm);
+    assert!(reports(&drained, "sends to") && reports(&drained, "orders a load on"));
 
     let mut cold = start(0);
     let entry = WorkerEntry { started: Some(1), ..worker(1) };
@@ -245,11 +249,11 @@
         cold.event(0, &Event::Arrived(request(&id, 0, "f")));
         cold.action(S, &send(&id));
     }
-    assert!(finds(&cold, "pushes the cold"));
+    assert!(reports(&cold, "overloads the cold"));
 
     let mut orders = start(0);
-    orders.action(0, &hold);
-    assert!(orders.broken.is_empty());
-    orders.action(0, &hold);
-    assert!(finds(&orders, "ration"));
+    orders.action(0, &prewarm);
+    assert!(orders.violations.is_empty());
+    orders.action(0, &prewarm);
+    assert!(reports(&orders, "rate limit"));
 }
--- a/tests/same_actions.rs
+++ b/tests/same_actions.rs
@@ -1,15 +1,18 @@
-//! Mends that are not meant to change a decision leave every action as it was: ten drawn sequences of events give
-//! the actions, byte for byte, that the module gave before it was made to bear its planned size.
+//! Guards against unintended changes of decisions: ten random sequences of events must give exactly the
+//! actions that were recorded before the module's data structures were changed for the planned size.
 
 mod common;
 
-use common::streams::{SEQUENCES, play};
+use common::sequences::{SEQUENCES, simulate};
 
-/// Digests of all actions, and of all but the wake-ups asked for; `cargo test -p cresswheel --test same_actions`
-/// prints those that it finds. Recorded with the module of commit 88a6a98, which paces cold workers by half windows
-/// and still ranks all that is wanted at each sweep, and one condition added to it: with orders off (the fifth and
-/// the sixth sequence) nothing is wanted, so that a worker that left is forgotten without waiting for the last
-/// forecast that wanted an instance there. Without that condition the other eight are the same.
+/// Digests of all actions, and of all actions except [`Action::WakeAfter`](cresswheel::Action::WakeAfter).
+/// The test prints the digests that it computes. They cover the debug output of the actions, so renaming a
+/// variant or a field of an action changes them.
+///
+/// Recorded at commit 88a6a98, which limits cold workers per half window and ranks all wanted instances at
+/// each sweep, with one condition added: with orders off (sequences 4 and 5) no instance is wanted, so a
+/// worker that left is dropped without waiting for the last forecast that wanted an instance there. The
+/// condition changes only these two.
 const RECORDED: [(u64, u64); SEQUENCES as usize] = [
     (0xb025ab9f921f4b96, 0xc37218dd7982deba),
     (0x87330fe5816e32af, 0x7e93b594b246e91e),
@@ -24,23 +27,24 @@
 ];
 
 #[test]
-fn drawn_sequences_give_the_recorded_actions() {
-    let streams = std::thread::scope(|scope| {
-        let players: Vec<_> = (0..SEQUENCES).map(|sequence| scope.spawn(move || play(sequence))).collect();
-        players.into_iter().map(|player| player.join().expect("a whole sequence")).collect::<Vec<_>>()
+fn random_sequences_give_the_recorded_actions() {
+    let results = std::thread::scope(|scope| {
+        let threads: Vec<_> =
+            (0..SEQUENCES).map(|sequence| scope.spawn(move || simulate(sequence))).collect();
+        threads.into_iter().map(|thread| thread.join().expect("a complete sequence")).collect::<Vec<_>>()
     });
-    let mut found = Vec::new();
-    for stream in &streams {
-        println!("(0x{:016x}, 0x{:016x}), {:?}", stream.digest, stream.digest_without_wakes, stream.actions);
+    let mut digests = Vec::new();
+    for result in &results {
+        println!("(0x{:016x}, 0x{:016x}), {:?}", result.digest, result.digest_without_wakes, result.actions);
         assert!(
-            stream.actions["send"] > 10_000 && stream.actions["forget"] > 20,
-            "a sequence with much in it"
+            result.actions["send"] > 10_000 && result.actions["forget"] > 20,
+            "the sequence has enough actions"
         );
-        found.push((stream.digest, stream.digest_without_wakes));
+        digests.push((result.digest, result.digest_without_wakes));
     }
     assert!(
-        streams.iter().filter(|s| s.actions.get("hold") > Some(&1_000)).count() == 8,
-        "orders, where allowed"
+        results.iter().filter(|s| s.actions.get("hold") > Some(&1_000)).count() == 8,
+        "prewarm orders where they are allowed"
     );
-    assert_eq!(found, RECORDED);
+    assert_eq!(digests, RECORDED);
 }
--- a/tests/simhost.rs
+++ b/tests/simhost.rs
@@ -1,8 +1,9 @@
-//! The adapter as a process, on short batches written by hand.
+//! Runs the simulator's adapter as a process on short batches of lines.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
 
+/// Runs the adapter on this input; gives its exit code, standard output and standard error.
 fn run(input: &str) -> (Option<i32>, String, String) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_cresswheel-simhost"))
         .stdin(Stdio::piped())
@@ -10,7 +11,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // A run that ends early closes the pipe; what it says is looked at below.
+    // An adapter that exits early closes the pipe, so the write may fail; the tests check its output.
     let _ = child.stdin.take().expect("a pipe").write_all(input.as_bytes());
     let output = child.wait_with_output().expect("the adapter ends");
     let text = |bytes| String::from_utf8(bytes).expect("UTF-8");
@@ -27,7 +28,7 @@
     "SUBMIT i=3 request_id=00000000000000aa class=check callee=svc/f time_left=900000 at_once=2\n";
 
 #[test]
-fn a_request_is_sent_and_end_of_input_is_a_clean_exit() {
+fn a_request_is_sent_and_the_end_of_input_is_a_clean_exit() {
     let (code, out, err) = run(&format!("{START}FRAME clock=3000\n{SUBMIT}GO\n"));
     assert_eq!((code, err.as_str()), (Some(0), ""));
     assert!(out.contains("HAND_OFF i=3 request_id=00000000000000aa host=10.0.0.1:9 within="), "{out}");
@@ -35,14 +36,14 @@
 }
 
 #[test]
-fn a_killed_instance_is_forgotten() {
+fn a_crashed_instance_gets_no_more_events() {
     let (code, out, _) = run(&format!("{START}FRAME clock=3000\nCRASH_NOW i=3\n{SUBMIT}GO\n"));
     assert_eq!(code, Some(0));
     assert!(!out.contains("HAND_OFF"));
 }
 
 #[test]
-fn malformed_lines_are_named_on_standard_error() {
+fn malformed_lines_end_the_adapter_with_an_error() {
     let cases = [
         ("SUBMIT i=3 class=check callee=f time_left=9\nGO\n", "SUBMIT: no request_id"),
         ("SUBMIT i=3 request_id=a class=check callee=f time_left=soon\nGO\n", "SUBMIT: bad time_left: soon"),
@@ -59,7 +60,7 @@
 }
 
 #[test]
-fn senseless_settings_are_reported_as_broken() {
+fn invalid_settings_are_reported_as_broken() {
     let (code, out, _) = run("FRAME clock=1\nATTACH i=0 entropy=1 tick=2000\nGO\n");
     assert_eq!(code, Some(0));
     assert!(out.contains("BROKEN i=0 what=settings: no classes"), "{out}");
