--- a/examples/planned_size.rs
+++ b/examples/planned_size.rs
@@ -1,11 +1,11 @@
-//! What the decision module costs at a given size, by kind of event, in processor time.
+//! CPU time of the decision module at a given size, by kind of event.
 //!
 //! `cargo run --release -p cresswheel --example planned_size -- --workers 2000 --functions 18000`
 //!
-//! One `Dispatcher` is driven alone, on a simulated clock. Half of the calls go to a few hot functions, the
-//! others are drawn evenly from the rest. Simulated workers load what they lack, keep it for the keep-alive and
-//! answer everything. One worker leaves the list, and comes back restarted, by turns. Costs are measured with
-//! the clock of the thread's processor time, less what reading that clock costs, over the last half of the run.
+//! A single `Dispatcher` runs on a simulated clock. Half of the calls go to a few hot functions, the others
+//! are spread evenly over the rest. Simulated workers load functions on demand, keep them for the keep-alive
+//! and answer every call. One worker after another leaves the list and returns restarted. Costs are thread
+//! CPU time, less the cost of reading that clock, over the second half of the run.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -24,23 +24,25 @@
 const MS: Micros = 1_000;
 const S: Micros = 1_000_000;
 const TICK: Micros = MS;
-const RUN: Micros = 20 * MS;
-const LOAD: Micros = 400 * MS;
+const RUN_TIME: Micros = 20 * MS;
+const LOAD_TIME: Micros = 400 * MS;
 const ROUND_TRIP: Micros = MS / 2;
-/// No event may take longer.
-const LONGEST: u64 = 2_000_000;
+/// Events that take longer, in nanoseconds, are counted in their own column.
+const SLOW_EVENT_NS: u64 = 2_000_000;
+/// Names of the kinds of events in the output.
 const KINDS: [&str; 5] = ["call", "end", "order's answer", "wake-up", "list change"];
 
+/// A kind of event; its value is an index into [`KINDS`].
 #[derive(Clone, Copy)]
 enum Kind {
     Call,
-    End,
-    Held,
+    AttemptEnd,
+    OrderAnswer,
     Wake,
-    List,
+    ListChange,
 }
 
-/// What the command line asks for.
+/// Command-line options.
 struct Options {
     workers: usize,
     functions: usize,
@@ -51,14 +53,15 @@
     gateways: u32,
     aim: Micros,
     keep_alive: Micros,
-    room: usize,
+    /// Instances per worker above which prewarm orders are rejected.
+    max_instances: usize,
     change_every: Micros,
     seed: u64,
     header: bool,
 }
 
 impl Options {
-    fn read(mut words: impl Iterator<Item = String>) -> Result<Self, Box<dyn Error>> {
+    fn parse(mut args: impl Iterator<Item = String>) -> Result<Self, Box<dyn Error>> {
         let mut options = Self {
             workers: 2_000,
             functions: 18_000,
@@ -69,13 +72,13 @@
             gateways: 1,
             aim: 100 * MS,
             keep_alive: 10 * S,
-            room: usize::MAX,
+            max_instances: usize::MAX,
             change_every: 5 * S,
             seed: 1,
             header: true,
         };
-        while let Some(name) = words.next() {
-            let value = words.next().ok_or(format!("{name} needs a value\n{USAGE}"))?;
+        while let Some(name) = args.next() {
+            let value = args.next().ok_or(format!("{name} needs a value\n{USAGE}"))?;
             match name.as_str() {
                 "--workers" => options.workers = value.parse()?,
                 "--functions" => options.functions = value.parse()?,
@@ -86,15 +89,15 @@
                 "--gateways" => options.gateways = value.parse()?,
                 "--aim-ms" => options.aim = value.parse::<Micros>()? * MS,
                 "--keep-alive-ms" => options.keep_alive = value.parse::<Micros>()? * MS,
-                "--room" => options.room = value.parse()?,
+                "--room" => options.max_instances = value.parse()?,
                 "--change-every-ms" => options.change_every = value.parse::<Micros>()? * MS,
                 "--seed" => options.seed = value.parse()?,
                 "--header" => options.header = value == "yes",
                 _ => return Err(format!("unknown option {name}\n{USAGE}").into()),
             }
         }
-        let enough = options.workers > 1 && options.functions > options.hot && options.hot > 0;
-        if !enough || options.rate == 0 || options.seconds == 0 {
+        let valid = options.workers > 1 && options.functions > options.hot && options.hot > 0;
+        if !valid || options.rate == 0 || options.seconds == 0 {
             return Err(format!("a size of zero, or no function beside the hot ones\n{USAGE}").into());
         }
         Ok(options)
@@ -124,26 +127,26 @@
     }
 }
 
-/// Processor time of this thread, in nanoseconds.
-fn processor_time() -> u64 {
+/// CPU time of this thread, in nanoseconds.
+fn thread_cpu_time() -> u64 {
     let time = clock_gettime(ClockId::ThreadCPUTime);
     time.tv_sec as u64 * 1_000_000_000 + time.tv_nsec as u64
 }
 
-/// What one reading of the clock adds to a span: the median of many.
+/// The time that one reading of the clock adds to a measurement, in nanoseconds: the median of many.
 fn clock_cost() -> u64 {
-    let mut spans: Vec<u64> = (0..10_001)
+    let mut times: Vec<u64> = (0..10_001)
         .map(|_| {
-            let before = processor_time();
-            processor_time() - before
+            let before = thread_cpu_time();
+            thread_cpu_time() - before
         })
         .collect();
-    spans.sort_unstable();
-    spans[spans.len() / 2]
+    times.sort_unstable();
+    times[times.len() / 2]
 }
 
-/// Resident memory of the process in bytes; 0 where the system doesn't tell.
-fn resident() -> u64 {
+/// Resident memory of the process in bytes; 0 if it can't be read.
+fn resident_memory() -> u64 {
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = statm.split_whitespace().nth(1).and_then(|pages| pages.parse::<u64>().ok());
     pages.unwrap_or(0) * rustix::param::page_size() as u64
@@ -155,7 +158,8 @@
     events: u64,
     total: u64,
     worst: u64,
-    over: u64,
+    /// Events that took longer than [`SLOW_EVENT_NS`].
+    slow: u64,
 }
 
 impl Costs {
@@ -163,7 +167,7 @@
         self.events += 1;
         self.total += cost;
         self.worst = self.worst.max(cost);
-        self.over += u64::from(cost > LONGEST);
+        self.slow += u64::from(cost > SLOW_EVENT_NS);
     }
 
     fn mean_us(&self) -> f64 {
@@ -171,45 +175,50 @@
     }
 }
 
+/// An event that is scheduled.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum Scheduled {
     Wake,
     Call,
-    End { request: u64, worker: usize, sent: Micros },
-    Held { function: usize, worker: usize, sent: Micros, stands: bool },
-    List,
+    AttemptEnd { request: u64, worker: usize, sent: Micros },
+    OrderAnswer { function: usize, worker: usize, sent: Micros, loaded: bool },
+    ListChange,
 }
 
 /// The module, its clock, and the simulated workers around it.
-struct Probe {
+struct Simulation {
     options: Options,
     module: Dispatcher,
     rng: Pcg32,
     now: Micros,
-    /// Wake-ups before all else of their time, so that what is due is done, and counted, in them.
-    due: BinaryHeap<Reverse<(Micros, bool, u64, Due)>>,
-    made: u64,
-    /// Requests under way: their function and the attempts sent.
-    open: HashMap<u64, (usize, usize)>,
-    /// Until when an instance stands, by function and worker.
-    stands: HashMap<(usize, usize), Micros>,
-    standing: Vec<usize>,
+    /// By time. Wake-ups come first at their time, so that the work that is due is done, and counted, in
+    /// them.
+    schedule: BinaryHeap<Reverse<(Micros, bool, u64, Scheduled)>>,
+    next_number: u64,
+    /// Requests in flight: their function and the number of attempts sent.
+    in_flight: HashMap<u64, (usize, usize)>,
+    /// Until when an instance stays loaded, by function and worker.
+    loaded_until: HashMap<(usize, usize), Micros>,
+    /// Loaded instances, by worker.
+    loaded_instances: Vec<usize>,
     functions: Vec<FunctionId>,
     workers: Vec<WorkerEntry>,
     function_of: HashMap<FunctionId, usize>,
     worker_of: HashMap<WorkerId, usize>,
-    left: Option<usize>,
-    /// Changes of the list so far, and after which of them each function was last called.
-    changes: u32,
-    called_after: Vec<u32>,
+    /// The worker that has left the list.
+    absent_worker: Option<usize>,
+    list_changes: u32,
+    /// The value of `list_changes` at the last call of each function.
+    changes_at_last_call: Vec<u32>,
     clock_cost: u64,
     costs: [Costs; KINDS.len()],
-    after_change: Costs,
+    /// Costs of the first call of a function after a change of the list.
+    first_call_after_change: Costs,
     orders: u64,
     measuring: bool,
 }
 
-impl Probe {
+impl Simulation {
     fn new(options: Options) -> Result<Self, SettingsError> {
         let name = |n: usize| FunctionId::from(format!("estate/function-{n}").as_str());
         let functions: Vec<FunctionId> = (0..options.functions).map(name).collect();
@@ -218,113 +227,115 @@
             module: Dispatcher::new(options.settings(), options.seed)?,
             rng: Pcg32::new(options.seed, 40),
             now: 0,
-            due: BinaryHeap::with_capacity(1 << 16),
-            made: 0,
-            open: HashMap::with_capacity(1 << 12),
-            stands: HashMap::with_capacity(1 << 16),
-            standing: vec![0; options.workers],
+            schedule: BinaryHeap::with_capacity(1 << 16),
+            next_number: 0,
+            in_flight: HashMap::with_capacity(1 << 12),
+            loaded_until: HashMap::with_capacity(1 << 16),
+            loaded_instances: vec![0; options.workers],
             function_of: functions.iter().cloned().zip(0..).collect(),
             worker_of: workers.iter().map(|w| w.id.clone()).zip(0..).collect(),
             functions,
             workers,
-            left: None,
-            changes: 1,
-            called_after: vec![0; options.functions],
+            absent_worker: None,
+            list_changes: 1,
+            changes_at_last_call: vec![0; options.functions],
             clock_cost: clock_cost(),
             costs: Default::default(),
-            after_change: Costs::default(),
+            first_call_after_change: Costs::default(),
             orders: 0,
             measuring: false,
             options,
         })
     }
 
-    fn later(&mut self, span: Micros, due: Due) {
-        self.made += 1;
-        let at = (self.now + span).next_multiple_of(TICK);
-        self.due.push(Reverse((at, due != Due::Wake, self.made, due)));
+    fn schedule_after(&mut self, delay: Micros, event: Scheduled) {
+        self.next_number += 1;
+        let at = (self.now + delay).next_multiple_of(TICK);
+        self.schedule.push(Reverse((at, event != Scheduled::Wake, self.next_number, event)));
     }
 
-    fn give(&mut self, kind: Kind, event: Event) -> u64 {
+    /// Passes an event to the module, executes the actions, and returns the cost.
+    fn handle(&mut self, kind: Kind, event: Event) -> u64 {
         let mut actions = Vec::new();
-        let before = processor_time();
+        let before = thread_cpu_time();
         self.module.handle(self.now, event, &mut actions);
-        let cost = (processor_time() - before).saturating_sub(self.clock_cost);
+        let cost = (thread_cpu_time() - before).saturating_sub(self.clock_cost);
         if self.measuring {
             self.costs[kind as usize].add(cost);
         }
         for action in actions {
-            self.carry_out(action);
+            self.execute(action);
         }
         cost
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         match action {
-            Action::WakeAfter(span) => self.later(span, Due::Wake),
+            Action::WakeAfter(delay) => self.schedule_after(delay, Scheduled::Wake),
             Action::Send { request, worker, .. } => {
                 let request = request.0.parse().unwrap_or(0);
                 let worker = self.worker_of[&worker];
-                let Some(open) = self.open.get_mut(&request) else { return };
-                open.1 += 1;
-                let function = open.0;
-                let wait = if self.load(function, worker, true) { 0 } else { LOAD };
+                let Some(request_state) = self.in_flight.get_mut(&request) else { return };
+                request_state.1 += 1;
+                let function = request_state.0;
+                let delay = if self.load(function, worker, true) { 0 } else { LOAD_TIME };
                 let sent = self.now;
-                self.later(wait + RUN, Due::End { request, worker, sent });
+                self.schedule_after(delay + RUN_TIME, Scheduled::AttemptEnd { request, worker, sent });
             }
             Action::Hold { worker, function, .. } => {
                 self.orders += u64::from(self.measuring);
                 let (worker, function) = (self.worker_of[&worker], self.function_of[&function]);
-                let stood = self.load(function, worker, false);
-                let stands = self.stands.contains_key(&(function, worker));
-                let wait = if stood || !stands { ROUND_TRIP } else { LOAD };
+                let was_loaded = self.load(function, worker, false);
+                let loaded = self.loaded_until.contains_key(&(function, worker));
+                let delay = if was_loaded || !loaded { ROUND_TRIP } else { LOAD_TIME };
                 let sent = self.now;
-                self.later(wait, Due::Held { function, worker, sent, stands });
+                self.schedule_after(delay, Scheduled::OrderAnswer { function, worker, sent, loaded });
             }
             Action::Refuse { request, .. } | Action::Fail { request } => {
-                self.open.remove(&request.0.parse().unwrap_or(0));
+                self.in_flight.remove(&request.0.parse().unwrap_or(0));
             }
             _ => {}
         }
     }
 
-    /// Has an instance stand at a worker; whether one stood. An order finds no room past `--room`.
+    /// Loads an instance at a worker, or extends its keep-alive. Returns whether one was loaded before.
+    /// Without a call, a prewarm order loads none if the worker has `max_instances`.
     fn load(&mut self, function: usize, worker: usize, called: bool) -> bool {
-        let (now, keep) = (self.now, self.options.keep_alive);
-        if let Some(until) = self.stands.get_mut(&(function, worker)).filter(|until| **until > now) {
-            *until = now + keep;
+        let (now, keep_alive) = (self.now, self.options.keep_alive);
+        if let Some(until) = self.loaded_until.get_mut(&(function, worker)).filter(|until| **until > now) {
+            *until = now + keep_alive;
             return true;
         }
-        if !called && self.standing[worker] >= self.options.room {
-            self.stands.remove(&(function, worker));
+        if !called && self.loaded_instances[worker] >= self.options.max_instances {
+            self.loaded_until.remove(&(function, worker));
             return false;
         }
-        self.standing[worker] += 1;
-        self.stands.insert((function, worker), now + LOAD + keep);
+        self.loaded_instances[worker] += 1;
+        self.loaded_until.insert((function, worker), now + LOAD_TIME + keep_alive);
         false
     }
 
-    /// Retires what has idled out; the map is looked over now and then.
-    fn retire(&mut self) {
+    /// Unloads the instances whose keep-alive has passed.
+    fn unload_idle(&mut self) {
         let now = self.now;
-        self.stands.retain(|_, until| *until > now);
-        self.standing.fill(0);
-        for (_, worker) in self.stands.keys() {
-            self.standing[*worker] += 1;
+        self.loaded_until.retain(|_, until| *until > now);
+        self.loaded_instances.fill(0);
+        for (_, worker) in self.loaded_until.keys() {
+            self.loaded_instances[*worker] += 1;
         }
     }
 
     fn call(&mut self) {
         let hot = self.rng.next_u32().is_multiple_of(2);
-        let (from, many) = if hot {
+        let (first, count) = if hot {
             (0, self.options.hot)
         } else {
             (self.options.hot, self.options.functions - self.options.hot)
         };
-        let function = from + self.rng.next_u32() as usize % many;
-        self.made += 1;
-        let number = self.made;
-        self.open.insert(number, (function, 0));
+        let function = first + self.rng.next_u32() as usize % count;
+        self.next_number += 1;
+        let number = self.next_number;
+        self.in_flight.insert(number, (function, 0));
         let request = Request {
             id: RequestId::from(number.to_string().as_str()),
             class: 0,
@@ -335,17 +346,19 @@
             lanes: Some(4),
             load_time: None,
         };
-        let cost = self.give(Kind::Call, Event::Arrived(request));
-        let known = self.called_after[function] > 0;
-        let first = std::mem::replace(&mut self.called_after[function], self.changes) < self.changes;
-        if self.measuring && known && first {
-            self.after_change.add(cost);
+        let cost = self.handle(Kind::Call, Event::Arrived(request));
+        let known = self.changes_at_last_call[function] > 0;
+        let first_after_change =
+            std::mem::replace(&mut self.changes_at_last_call[function], self.list_changes)
+                < self.list_changes;
+        if self.measuring && known && first_after_change {
+            self.first_call_after_change.add(cost);
         }
     }
 
-    /// By turns a worker leaves the list, and comes back with a new process.
+    /// Takes a worker off the list, or returns the one that has left with a new process.
     fn change_list(&mut self) {
-        let worker = match self.left.take() {
+        let worker = match self.absent_worker.take() {
             Some(worker) => {
                 self.workers[worker].state = WorkerState::In;
                 self.workers[worker].started = Some(self.now);
@@ -354,27 +367,27 @@
             None => {
                 let worker = self.rng.next_u32() as usize % self.workers.len();
                 self.workers[worker].state = WorkerState::Out;
-                self.left = Some(worker);
+                self.absent_worker = Some(worker);
                 worker
             }
         };
-        self.stands.retain(|(_, at), _| *at != worker);
-        self.changes += 1;
+        self.loaded_until.retain(|(_, at), _| *at != worker);
+        self.list_changes += 1;
         let entry = self.workers[worker].clone();
-        self.give(Kind::List, Event::List(ListNews::Changes(vec![entry])));
+        self.handle(Kind::ListChange, Event::List(ListNews::Changes(vec![entry])));
     }
 
-    fn step(&mut self, due: Due) {
-        match due {
-            Due::Wake => {
-                self.give(Kind::Wake, Event::Wake);
+    fn step(&mut self, event: Scheduled) {
+        match event {
+            Scheduled::Wake => {
+                self.handle(Kind::Wake, Event::Wake);
             }
-            Due::Call => {
+            Scheduled::Call => {
                 self.call();
-                self.later(S / self.options.rate, Due::Call);
+                self.schedule_after(S / self.options.rate, Scheduled::Call);
             }
-            Due::End { request, worker, sent } => {
-                let Some((_, attempts)) = self.open.remove(&request) else { return };
+            Scheduled::AttemptEnd { request, worker, sent } => {
+                let Some((_, attempts)) = self.in_flight.remove(&request) else { return };
                 let event = Event::Ended {
                     request: RequestId::from(request.to_string().as_str()),
                     attempt: attempts - 1,
@@ -385,38 +398,40 @@
                     crowd: None,
                     load_failed: false,
                 };
-                self.give(Kind::End, event);
+                self.handle(Kind::AttemptEnd, event);
             }
-            Due::Held { function, worker, sent, stands } => {
+            Scheduled::OrderAnswer { function, worker, sent, loaded } => {
                 let event = Event::Held {
                     worker: self.workers[worker].id.clone(),
                     function: self.functions[function].clone(),
-                    outcome: if stands { Outcome::Ok } else { Outcome::Full },
+                    outcome: if loaded { Outcome::Ok } else { Outcome::Full },
                     elapsed: self.now - sent,
-                    standing: u32::from(stands),
+                    standing: u32::from(loaded),
                 };
-                self.give(Kind::Held, event);
+                self.handle(Kind::OrderAnswer, event);
             }
-            Due::List => {
-                self.retire();
+            Scheduled::ListChange => {
+                self.unload_idle();
                 self.change_list();
-                self.later(self.options.change_every, Due::List);
+                self.schedule_after(self.options.change_every, Scheduled::ListChange);
             }
         }
     }
 
-    /// Runs to the end; what the first list cost, which builds everything, comes back apart.
+    /// Runs to the end. Returns the cost of the first list, which builds all tables, separately.
     fn run(&mut self) -> u64 {
-        let first = self.give(Kind::List, Event::List(ListNews::Whole(self.workers.clone())));
-        self.later(TICK, Due::Call);
-        self.later(self.options.change_every, Due::List);
+        let first_list_cost =
+            self.handle(Kind::ListChange, Event::List(ListNews::Whole(self.workers.clone())));
+        self.schedule_after(TICK, Scheduled::Call);
+        self.schedule_after(self.options.change_every, Scheduled::ListChange);
         let end = self.options.seconds * S;
-        while let Some(Reverse((at, .., due))) = self.due.pop().filter(|Reverse((at, ..))| *at <= end) {
+        while let Some(Reverse((at, .., event))) = self.schedule.pop().filter(|Reverse((at, ..))| *at <= end)
+        {
             self.now = self.now.max(at);
             self.measuring = self.now * 2 > end;
-            self.step(due);
+            self.step(event);
         }
-        first
+        first_list_cost
     }
 }
 
@@ -432,15 +447,15 @@
 }
 
 fn main() -> Result<(), Box<dyn Error>> {
-    let options = Options::read(std::env::args().skip(1))?;
+    let options = Options::parse(std::env::args().skip(1))?;
     let header = options.header;
-    let mut probe = Probe::new(options)?;
-    let before = resident();
-    let first = probe.run();
-    let grown = resident().saturating_sub(before);
-    let options = &probe.options;
-    let span = options.seconds as f64 * 1e9 / 2.0;
-    let percent = |kind: usize| 100.0 * probe.costs[kind].total as f64 / span;
+    let mut simulation = Simulation::new(options)?;
+    let memory_before = resident_memory();
+    let first_list_cost = simulation.run();
+    let memory_growth = resident_memory().saturating_sub(memory_before);
+    let options = &simulation.options;
+    let measured_ns = options.seconds as f64 * 1e9 / 2.0;
+    let percent = |kind: usize| 100.0 * simulation.costs[kind].total as f64 / measured_ns;
     let control: f64 = (0..KINDS.len()).filter(|kind| *kind != Kind::Call as usize).map(percent).sum();
     let all: f64 = (0..KINDS.len()).map(percent).sum();
     let mut out = String::new();
@@ -455,18 +470,18 @@
     }
     let orders = if options.orders { "on" } else { "off" };
     write!(out, "| {} x {}, {orders} |", options.workers, options.functions)?;
-    for costs in &probe.costs {
-        let rate = costs.events as f64 * 1e9 / span;
+    for costs in &simulation.costs {
+        let rate = costs.events as f64 * 1e9 / measured_ns;
         let worst = costs.worst as f64 / 1e6;
-        write!(out, " {rate:.1}, {:.1}, {worst:.2}, {} |", costs.mean_us(), costs.over)?;
+        write!(out, " {rate:.1}, {:.1}, {worst:.2}, {} |", costs.mean_us(), costs.slow)?;
     }
     writeln!(
         out,
         " {:.1} | {control:.2}% | {all:.2}% | {:.1} | {:.0} | {:.1} |",
-        probe.after_change.mean_us(),
-        first as f64 / 1e6,
-        grown as f64 / 1e6,
-        probe.orders as f64 * 1e9 / span
+        simulation.first_call_after_change.mean_us(),
+        first_list_cost as f64 / 1e6,
+        memory_growth as f64 / 1e6,
+        simulation.orders as f64 * 1e9 / measured_ns
     )?;
     print!("{out}");
     Ok(())
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -730,19 +730,14 @@
     assert_eq!(timeout_of(&arrive(&mut harness, "after", 0, "f")), 1200 * MS);
 }
 
-/// Keeps this many requests of a function in flight until then; gives the most instances ordered at each
-/// worker.
-fn closed_loop(
-    harness: &mut Harness,
-    concurrency: usize,
-    until: Micros,
-) -> std::collections::BTreeMap<WorkerId, u32> {
+/// Keeps `load` requests of a function in flight; gives the most instances ordered at each worker.
+fn run_load(harness: &mut Harness, load: usize, until: Micros) -> std::collections::BTreeMap<WorkerId, u32> {
     let (mut in_flight, mut counts) = (std::collections::VecDeque::new(), std::collections::BTreeMap::new());
     let mut number = harness.now;
     while harness.now < until {
         let next = harness.now + 10 * MS;
         let mut actions = harness.run_to(next);
-        for _ in in_flight.len()..concurrency {
+        for _ in in_flight.len()..load {
             number += 1;
             actions.extend(arrive(harness, &format!("c{number}"), 0, "hot"));
         }
@@ -773,7 +768,7 @@
     for (worker_count, most_instances) in [(1, 16), (1, 4), (2, 16), (40, 16)] {
         let mut harness = Harness::new(Settings { most_instances, ..settings() });
         harness.handle(workers(worker_count));
-        let counts = closed_loop(&mut harness, 20, 6 * S);
+        let counts = run_load(&mut harness, 20, 6 * S);
         let largest = counts.values().max().copied().unwrap_or(0);
         // Twenty requests in flight on instances with a concurrency of four, planned at a third: seventeen
         // homes.
@@ -784,8 +779,8 @@
             _ => assert!(largest <= 1, "enough homes: {counts:?}"),
         }
         // When the forecast has fallen, renewals order one instance again.
-        let quiet = closed_loop(&mut harness, 1, 16 * S);
-        let later = closed_loop(&mut harness, 1, 26 * S);
+        let quiet = run_load(&mut harness, 1, 16 * S);
+        let later = run_load(&mut harness, 1, 26 * S);
         assert!(later.values().all(|count| *count <= 1), "{quiet:?}, then {later:?}");
     }
 }
