--- a/src/interface.rs
+++ b/src/interface.rs
@@ -364,7 +364,7 @@
         /// The attempt that streams.
         attempt: usize,
     },
-    /// The client has disconnected; the request is over.
+    /// The client no longer waits for its answer; the request is over.
     Gone(RequestId),
     /// The worker list was updated.
     List(ListNews),
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -155,11 +155,11 @@
 
 /// The prewarm orders, as workers and functions.
 pub fn prewarm_orders(actions: &[Action]) -> Vec<(WorkerId, FunctionId)> {
-    let hold = |a: &Action| match a {
+    let order = |a: &Action| match a {
         Action::Hold { worker, function, count } if *count > 0 => Some((worker.clone(), function.clone())),
         _ => None,
     };
-    actions.iter().filter_map(hold).collect()
+    actions.iter().filter_map(order).collect()
 }
 
 struct RequestRecord {
@@ -214,7 +214,7 @@
     pub fn event(&mut self, now: Micros, event: &Event) {
         for (id, record) in &self.requests {
             if !record.finished && now > record.deadline + 8 * MS {
-                self.violations.push(format!("lost: {id}"));
+                self.violations.push(format!("no answer by the deadline: {id}"));
             }
         }
         self.requests.retain(|_, record| now <= record.deadline + 20 * S);
--- a/tests/common/sequences.rs
+++ b/tests/common/sequences.rs
@@ -32,7 +32,7 @@
 /// The settings of each sequence: with and without orders, a rate limit on orders, further gateways and slow
 /// start.
 fn settings_of(sequence: u64) -> Settings {
-    let ration = Some(OrderRation { window: 5 * S, free: 4.0, per_request: 0.1 });
+    let order_limit = Some(OrderRation { window: 5 * S, free: 4.0, per_request: 0.1 });
     let base = Settings { keep_alive: 3 * S, ..settings() };
     let miss = Settings { when_absent: WhenAbsent::Miss, ..base.clone() };
     let slow_start = ColdStart { from: 0.1, warm_up: 20 * S, multiple: 1.5, window: 3 * S };
@@ -40,10 +40,10 @@
         0 => base,
         1 => Settings { gateways: 3, ..base },
         2 => miss,
-        3 => Settings { gateways: 40, ration, ..miss },
+        3 => Settings { gateways: 40, ration: order_limit, ..miss },
         4 => Settings { may_order: false, ..base },
         5 => Settings { may_order: false, must_follow: true, gateways: 12, ..miss },
-        6 => Settings { ration, cold: slow_start, tells_crowd: true, ..base },
+        6 => Settings { ration: order_limit, cold: slow_start, tells_crowd: true, ..base },
         7 => Settings { gateways: 200, cold: slow_start, tells_crowd: true, ..miss },
         8 => Settings { keep_alive: 500 * MS, retry_after: true, max_retry_after: 2 * S, ..base },
         _ => Settings { classes: vec![class("short", Effect::Safe)], keep_alive: 9 * S, gateways: 2, ..base },
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -218,7 +218,7 @@
 
     let mut unanswered = start(0);
     unanswered.event(6 * S, &Event::Wake);
-    assert!(reports(&unanswered, "lost"));
+    assert!(reports(&unanswered, "no answer by the deadline"));
 
     let mut repeated = start(1);
     repeated.action(0, &send("r"));
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -19,13 +19,13 @@
 fn call_generator() -> impl FnMut() -> Vec<usize> {
     let weights: Vec<f64> = (0..GATEWAYS).map(|n| 1.0 / (n + 1) as f64).collect();
     let total_weight: f64 = weights.iter().sum();
-    let mut owed: Vec<f64> = (0..GATEWAYS).map(|n| (n * 7 % GATEWAYS) as f64 / GATEWAYS as f64).collect();
+    let mut credit: Vec<f64> = (0..GATEWAYS).map(|n| (n * 7 % GATEWAYS) as f64 / GATEWAYS as f64).collect();
     move || {
         let mut calls = Vec::new();
-        for (n, owed) in owed.iter_mut().enumerate() {
-            *owed += 0.6 * weights[n] / total_weight;
-            if *owed >= 1.0 {
-                *owed -= 1.0;
+        for (n, credit) in credit.iter_mut().enumerate() {
+            *credit += 0.6 * weights[n] / total_weight;
+            if *credit >= 1.0 {
+                *credit -= 1.0;
                 calls.push(n);
             }
         }
@@ -35,8 +35,8 @@
 
 /// The most that one cold worker is sent within a window, as a fraction of what makes it collapse then, if
 /// the gateways are configured with this count of gateways.
-fn peak_load(stated_gateways: u32) -> f64 {
-    let settings = Settings { gateways: stated_gateways, ..settings() };
+fn peak_load(configured_gateways: u32) -> f64 {
+    let settings = Settings { gateways: configured_gateways, ..settings() };
     let cold = settings.cold;
     let mut gateways: Vec<Harness> =
         (0..GATEWAYS).map(|n| Harness::seeded(settings.clone(), n as u64)).collect();
@@ -48,14 +48,14 @@
     }
     let mut calls = call_generator();
     let mut sent: VecDeque<Micros> = VecDeque::new();
-    let mut due: BTreeMap<(Micros, usize, RequestId), WorkerId> = BTreeMap::new();
-    let (mut worst, mut number) = (0.0f64, 0);
+    let mut pending: BTreeMap<(Micros, usize, RequestId), WorkerId> = BTreeMap::new();
+    let (mut peak, mut number) = (0.0f64, 0);
     for step in 0..1_200u64 {
         let now = start + step * 10 * MS;
         let mut actions: Vec<(usize, Action)> = Vec::new();
-        while let Some(((_, n, id), to)) = due.first_key_value().filter(|((at, ..), _)| *at <= now) {
+        while let Some(((_, n, id), to)) = pending.first_key_value().filter(|((at, ..), _)| *at <= now) {
             let (n, id, to) = (*n, id.clone(), to.clone());
-            due.pop_first();
+            pending.pop_first();
             actions.extend(gateways[n].handle(ended(&id.0, 0, &to, Outcome::Ok)).into_iter().map(|a| (n, a)));
         }
         for (n, gateway) in gateways.iter_mut().enumerate() {
@@ -69,7 +69,7 @@
         for (n, action) in actions {
             if let Action::Send { request, worker, .. } = action {
                 sent.push_back(now);
-                due.insert((now + 100 * MS, n, request), worker);
+                pending.insert((now + 100 * MS, n, request), worker);
             }
         }
         while sent.front().is_some_and(|at| at + cold.window < now) {
@@ -77,10 +77,10 @@
         }
         let age = (now - start).min(cold.warm_up) as f64 / cold.warm_up as f64;
         let capacity = CAPACITY * (cold.from + (1.0 - cold.from) * age);
-        worst = worst.max(sent.len() as f64 / (cold.multiple * capacity * cold.window as f64 / 1e6));
+        peak = peak.max(sent.len() as f64 / (cold.multiple * capacity * cold.window as f64 / 1e6));
     }
     assert!(number > 500, "the simulation has traffic");
-    worst
+    peak
 }
 
 #[test]
@@ -147,7 +147,7 @@
 struct LoadSpike {
     gateways: usize,
     /// The count of gateways in the settings.
-    stated: usize,
+    configured_gateways: usize,
     /// Requests per second that one warm worker can handle on its four cores.
     capacity: f64,
     /// Load before the spike, as a fraction of the capacity.
@@ -164,8 +164,8 @@
     spike_load: f64,
     /// Whether the warm workers leave the list when the spike begins.
     warm_leave: bool,
-    /// Whether the cold workers served under the same names before. A gateway without the news takes them for
-    /// warm.
+    /// Whether the cold workers served under the same names before. A gateway that has not been
+    /// notified takes them for warm.
     restarted: bool,
     seed: u64,
 }
@@ -213,7 +213,7 @@
     fn of(gateways: usize, capacity: f64, seed: u64) -> Self {
         Self {
             gateways,
-            stated: gateways,
+            configured_gateways: gateways,
             capacity,
             base_load: 0.9,
             learning_time: settings().cold.warm_up * 3 / 2,
@@ -233,7 +233,7 @@
     }
 
     fn simulate(&self) -> ColdLoad {
-        let settings = Settings { gateways: self.stated as u32, may_order: false, ..settings() };
+        let settings = Settings { gateways: self.configured_gateways as u32, may_order: false, ..settings() };
         let cold = settings.cold;
         let mut rng = Pcg32::new(self.seed, 41);
         let weights = self.traffic_weights(&mut rng);
@@ -254,7 +254,7 @@
         let cold_ids: Vec<WorkerId> = (WARM + 1..=WARM + COLD).map(|number| worker(number).id).collect();
         let run_time = (CORES as f64 / self.capacity * 1e6) as Micros;
         let mut cold_sends: Vec<Vec<ColdSend>> = (0..COLD).map(|_| Vec::new()).collect();
-        let mut due: BTreeMap<(Micros, usize, RequestId, usize), (WorkerId, Outcome)> = BTreeMap::new();
+        let mut pending: BTreeMap<(Micros, usize, RequestId, usize), (WorkerId, Outcome)> = BTreeMap::new();
         let mut attempts: BTreeMap<RequestId, usize> = BTreeMap::new();
         let mut in_flight: BTreeMap<WorkerId, usize> = BTreeMap::new();
         let (mut number, mut next_call) = (0u64, 0.0f64);
@@ -262,9 +262,10 @@
         while now < start + cold.warm_up {
             now += STEP;
             let mut actions: Vec<(usize, Action)> = Vec::new();
-            while let Some(key) = due.first_key_value().map(|(key, _)| key.clone()).filter(|key| key.0 <= now)
+            while let Some(key) =
+                pending.first_key_value().map(|(key, _)| key.clone()).filter(|key| key.0 <= now)
             {
-                let (to, outcome) = due.remove(&key).expect("the first key");
+                let (to, outcome) = pending.remove(&key).expect("the first key");
                 let (_, n, id, attempt) = key;
                 let answered = outcome == Outcome::Ok;
                 in_flight.entry(to.clone()).and_modify(|busy| *busy -= usize::from(answered));
@@ -334,14 +335,14 @@
                 }
                 let attempt = attempts.entry(request.clone()).or_default();
                 let duration = if outcome == Outcome::Ok { run_time } else { STEP };
-                due.insert((now + duration, n, request, *attempt), (worker, outcome));
+                pending.insert((now + duration, n, request, *attempt), (worker, outcome));
                 *attempt += 1;
             }
         }
         let peak = cold_sends.iter().map(|sends| self.peak(sends, start, &cold)).fold(0.0, f64::max);
         let sent: usize = cold_sends.iter().map(Vec::len).sum();
-        let mean_capacity = (1.0 + cold.from) / 2.0;
-        let allowed = cold.multiple * self.capacity * mean_capacity * cold.warm_up as f64 / 1e6;
+        let mean_fraction = (1.0 + cold.from) / 2.0;
+        let allowed = cold.multiple * self.capacity * mean_fraction * cold.warm_up as f64 / 1e6;
         ColdLoad { peak, utilization: sent as f64 / COLD as f64 / allowed }
     }
 
@@ -447,9 +448,9 @@
 
 #[test]
 fn cold_workers_are_not_overloaded_if_the_gateway_count_is_off_by_two() {
-    check_all(|spike| LoadSpike { stated: spike.gateways - 2, ..spike });
-    check_new_gateways(|spike| LoadSpike { stated: spike.gateways - 2, ..spike });
-    check_new_gateways(|spike| LoadSpike { stated: spike.gateways + 2, ..spike });
+    check_all(|spike| LoadSpike { configured_gateways: spike.gateways - 2, ..spike });
+    check_new_gateways(|spike| LoadSpike { configured_gateways: spike.gateways - 2, ..spike });
+    check_new_gateways(|spike| LoadSpike { configured_gateways: spike.gateways + 2, ..spike });
 }
 
 /// Gateways without measurements assume that a worker handles eight requests per latency objective. With half
@@ -457,8 +458,8 @@
 /// here.
 #[test]
 fn cold_workers_are_not_overloaded_if_the_gateway_count_is_half_or_twice_the_true_one() {
-    check_new_gateways(|spike| LoadSpike { stated: spike.gateways / 2, ..spike });
-    check_new_gateways(|spike| LoadSpike { stated: spike.gateways * 2, ..spike });
+    check_new_gateways(|spike| LoadSpike { configured_gateways: spike.gateways / 2, ..spike });
+    check_new_gateways(|spike| LoadSpike { configured_gateways: spike.gateways * 2, ..spike });
 }
 
 #[test]
@@ -469,7 +470,8 @@
 #[test]
 fn gateways_with_a_configured_count_of_one_overload_a_cold_worker() {
     for gateways in GATEWAY_COUNTS {
-        let load = LoadSpike { stated: 1, warm_leave: true, ..LoadSpike::of(gateways, 40.0, 1) }.simulate();
+        let load = LoadSpike { configured_gateways: 1, warm_leave: true, ..LoadSpike::of(gateways, 40.0, 1) }
+            .simulate();
         assert!(load.peak > 1.0, "{gateways} gateways: {:.2} of the limit", load.peak);
     }
 }
