--- a/crates/admission/src/descriptors.rs
+++ b/crates/admission/src/descriptors.rs
@@ -1,61 +1,64 @@
-//! File descriptors: what connections to workers, listeners and logs need is set aside before clients get any.
+//! Budget of file descriptors: those for worker connections, listeners and logs are reserved before client
+//! connections get any.
 
-/// What a process may open.
+/// Inputs of the descriptor budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Budget {
-    /// Descriptors that a process may have.
+    /// Descriptors that a process may open.
     pub limit: usize,
-    /// Workers that are known or to be expected.
+    /// Workers that are known or expected.
     pub workers: usize,
-    /// Connections that each of them may get.
+    /// Connections to each worker.
     pub per_worker: usize,
 }
 
-/// Listeners, logs, loop, list, state, a reload, and what the standard library opens in passing.
-const OWN: usize = 24;
-/// More processes than this are a mistake in the settings.
-const MOST_HOLDERS: usize = 64;
+/// Listeners, logs, event loop, worker list, stored state, a reload of the settings, and descriptors that the
+/// standard library opens for a short time.
+const OWN_DESCRIPTORS: usize = 24;
+/// More acceptor processes than this mean a mistake in the settings.
+const MAX_ACCEPTORS: usize = 64;
 
-/// How the connections are spread over processes.
+/// How client connections are split between processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Parts {
-    /// Processes that only hold connections; 0: the gateway holds them itself.
+    /// Acceptor processes, which only hold client connections; 0: the gateway process holds them itself.
     pub holders: usize,
-    /// Connections that each may hold.
+    /// Connection limit of each process.
     pub each: usize,
-    /// All that they can hold together, if that is less than was asked for.
+    /// The total connection limit, if it is less than was asked for.
     pub short: Option<usize>,
 }
 
 impl Budget {
-    /// What is set aside in the process that speaks with workers. On a small limit at most half of it, so that
-    /// some clients get in whatever the list says.
-    pub fn reserve(&self) -> usize {
-        let all = OWN + self.workers.saturating_mul(self.per_worker);
-        all.min((self.limit / 2).max(OWN)).min(self.limit)
+    /// Descriptors reserved in the process that connects to workers. With a small limit at most half of it,
+    /// so that some clients can connect however long the worker list is.
+    pub fn reserved(&self) -> usize {
+        let needed = OWN_DESCRIPTORS + self.workers.saturating_mul(self.per_worker);
+        needed.min((self.limit / 2).max(OWN_DESCRIPTORS)).min(self.limit)
     }
 
-    /// Clients that the process which speaks with workers can hold itself.
-    pub fn inside(&self) -> usize {
-        self.limit - self.reserve()
+    /// Client connections that the process which connects to workers can hold itself.
+    pub fn own_capacity(&self) -> usize {
+        self.limit - self.reserved()
     }
 
-    /// Spreads so many connections. With `holders` given, over so many; else over none if they fit inside.
+    /// Splits the connections over `holders` acceptor processes. With `None`, over as few as can hold them,
+    /// and over none if the gateway process can hold all.
     pub fn spread(&self, connections: usize, holders: Option<usize>) -> Parts {
-        let in_holder = self.limit.saturating_sub(OWN).max(1);
-        let wanted = connections.div_ceil(in_holder);
+        let per_acceptor = self.limit.saturating_sub(OWN_DESCRIPTORS).max(1);
+        let needed = connections.div_ceil(per_acceptor);
         let holders = match holders {
             Some(given) => given,
-            None if connections <= self.inside() => 0,
-            // A limit so small that it would take a crowd of processes is taken as meant.
-            None if wanted > MOST_HOLDERS => 0,
-            None => wanted,
+            None if connections <= self.own_capacity() => 0,
+            // A descriptor limit that would take so many processes is taken as intended.
+            None if needed > MAX_ACCEPTORS => 0,
+            None => needed,
         };
-        let (each, all) = match holders {
-            0 => (connections.min(self.inside()), self.inside()),
-            n => (connections.div_ceil(n).min(in_holder), in_holder.saturating_mul(n)),
+        let (each, total) = match holders {
+            0 => (connections.min(self.own_capacity()), self.own_capacity()),
+            n => (connections.div_ceil(n).min(per_acceptor), per_acceptor.saturating_mul(n)),
         };
-        Parts { holders, each, short: (all < connections).then_some(all) }
+        Parts { holders, each, short: (total < connections).then_some(total) }
     }
 }
 
@@ -63,26 +66,26 @@
 mod tests {
     use super::*;
 
-    const HERE: Budget = Budget { limit: 20_000, workers: 64, per_worker: 4 };
+    const BUDGET: Budget = Budget { limit: 20_000, workers: 64, per_worker: 4 };
 
     #[test]
-    fn what_fits_stays_inside_and_more_takes_as_few_processes_as_hold_it() {
-        assert_eq!(HERE.spread(10_000, None), Parts { holders: 0, each: 10_000, short: None });
-        assert_eq!(HERE.spread(19_720, None).holders, 0);
-        assert_eq!(HERE.spread(19_721, None).holders, 1);
-        assert_eq!(HERE.spread(100_000, None), Parts { holders: 6, each: 16_667, short: None });
-        assert_eq!(HERE.spread(100_000, Some(8)).each, 12_500);
-        assert_eq!(HERE.spread(100_000, Some(2)).short, Some(39_952));
+    fn connections_stay_in_the_gateway_process_if_they_fit_and_else_use_the_fewest_acceptors() {
+        assert_eq!(BUDGET.spread(10_000, None), Parts { holders: 0, each: 10_000, short: None });
+        assert_eq!(BUDGET.spread(19_720, None).holders, 0);
+        assert_eq!(BUDGET.spread(19_721, None).holders, 1);
+        assert_eq!(BUDGET.spread(100_000, None), Parts { holders: 6, each: 16_667, short: None });
+        assert_eq!(BUDGET.spread(100_000, Some(8)).each, 12_500);
+        assert_eq!(BUDGET.spread(100_000, Some(2)).short, Some(39_952));
     }
 
     #[test]
-    fn a_tiny_limit_leaves_some_for_clients_and_some_for_workers() {
-        let tiny = Budget { limit: 64, ..HERE };
-        assert_eq!((tiny.reserve(), tiny.inside()), (32, 32));
+    fn a_small_descriptor_limit_is_split_between_clients_and_workers() {
+        let tiny = Budget { limit: 64, ..BUDGET };
+        assert_eq!((tiny.reserved(), tiny.own_capacity()), (32, 32));
         assert_eq!(tiny.spread(10_000, None), Parts { holders: 0, each: 32, short: Some(32) });
         for limit in 0..200 {
-            let budget = Budget { limit, ..HERE };
-            assert!(budget.reserve() + budget.inside() == limit);
+            let budget = Budget { limit, ..BUDGET };
+            assert!(budget.reserved() + budget.own_capacity() == limit);
         }
     }
 }
--- a/crates/admission/src/door.rs
+++ b/crates/admission/src/door.rs
@@ -1,10 +1,11 @@
-//! The door: which connections may stay.
+//! Connection limits: decides which client connections may stay.
 //!
-//! Each connection is in one of a few states, and each state is a queue of [`Spans`] with a time of its own. Nothing
-//! is kept for an idle connection but its place in the queue and 16 bytes.
+//! Each connection is in one of a few states, and each state is a queue of [`TimerQueues`] with its own
+//! timeout. An idle connection takes nothing but its entry in the queue and 16 bytes.
 //!
-//! Invariants: never more connections than `connections`; a connection with an open call is never closed to make
-//! room, for being idle or by a ping; at most `pings_per_s` pings leave in any second, beyond one batch of a quarter of that.
+//! Invariants: there are never more connections than `connections`; a connection with an open request is
+//! never closed to free its place, as idle, or after a ping; in any second at most `pings_per_s` pings are
+//! sent, plus one batch of a quarter of that.
 
 use std::net::IpAddr;
 
@@ -12,40 +13,41 @@
 use foldhash::{HashMap, HashMapExt};
 use serde::{Deserialize, Serialize};
 
-use crate::{Pace, Spans};
+use crate::{TimerQueues, TokenBucket};
 
-/// Bounds of the door. Times are microseconds.
+/// Limits of client connections. Times are microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DoorLimits {
-    /// Connections at once.
+    /// Concurrent connections.
     pub connections: usize,
-    /// Connections taken a second, and at once after a quiet time.
+    /// Rate at which connections are accepted. The burst is a tenth of a second's, and at least 64.
     pub accepts_per_s: u64,
-    /// When all places are taken, a connection that has been idle for so long gives way to a new one.
+    /// At the connection limit, a connection that has been idle for this long is evicted for a new one.
     pub evict_after: Micros,
-    /// A connection to which nothing was answered yet, and which waits for nothing, is closed after this; 0: as an
-    /// idle one. It gives way first.
+    /// Timeout of a connection that has no open request and was never answered; 0: the same as for an idle
+    /// one. Such a connection is evicted first.
     pub unasked: Micros,
-    /// Idle connections are closed after this: those of HTTP, and of the main protocol if there are no pings.
+    /// Idle timeout of HTTP connections, and of connections of the main protocol if there are no pings.
     pub idle: Micros,
-    /// A message must be whole this long after its first byte, however its bytes come.
+    /// Time from the first byte of a message to its last, however the bytes are spread over it.
     pub half: Micros,
-    /// A message that is not whole, and of which nothing came for so long, is given up earlier; 0: it is not.
+    /// A partial message of which nothing has been received for this long is given up earlier; 0: it is not.
     pub half_silent: Micros,
-    /// Connections whose message has not been whole for longer than `evict_after`, at most. Beyond that the one of
-    /// them that has been silent the longest gives way, unless it has an open call.
+    /// Limit of connections whose message has been partial for longer than `evict_after`. Beyond it, the one
+    /// among them that has been silent for longest is closed, unless it has an open request.
     pub half_connections: usize,
-    /// Bytes of messages not whole yet, over all connections.
+    /// Bytes of partial messages, over all connections.
     pub half_bytes: usize,
-    /// A client that does not read its answers may do so for this long.
+    /// How long a client may leave its answers unread.
     pub stall: Micros,
     /// An idle connection of the main protocol is pinged after this.
     pub ping_after: Micros,
-    /// It is closed if it says nothing for this long after the ping, or stays idle after it was asked to leave.
+    /// A connection is closed if nothing is received for this long after a ping, or if it stays idle for this
+    /// long after it was asked to leave.
     pub ping_wait: Micros,
-    /// Pings a second; 0: none.
+    /// Rate of pings; 0: there are none.
     pub pings_per_s: u64,
-    /// When many are to leave, they are asked one by one over this time.
+    /// When many connections are asked to leave, the requests are spread over this time.
     pub leave_over: Micros,
 }
 
@@ -71,91 +73,90 @@
     }
 }
 
-/// What a connection showed.
+/// What was observed on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sign {
-    /// Bytes came; so many are held of a message that is not whole.
+    /// Bytes were received; this many of them belong to a partial message.
     Heard(usize),
-    /// It does not read: too much waits to be written.
+    /// The client does not read: its output backlog is too large.
     Stalled,
-    /// It reads again.
+    /// The client reads again.
     Reads,
 }
 
-/// What becomes of a new connection.
+/// Decision about a new connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Arrival {
-    /// It may stay.
+    /// It is accepted.
     Welcome,
-    /// It may stay; this one gives way to it.
+    /// It is accepted, and the connection in this slot is evicted for it.
     Instead(usize),
-    /// It is closed at once, for this reason.
+    /// It is rejected for this reason.
     Away(&'static str),
 }
 
-/// What is to be done about a connection that was not heard of.
+/// What to do with a connection whose timer has expired or that has to be asked to leave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Act {
     /// Close it, for this reason.
     Close(usize, &'static str),
     /// Ping it.
     Ping(usize),
-    /// Ask it to leave: a word on the main protocol, an end after the last answer on HTTP.
+    /// Ask it to leave: with a message on the main protocol, by closing it after the last response on HTTP.
     AskToLeave(usize),
 }
 
-/// What the door counted since its start.
+/// Counters since the start, and current numbers of connections.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DoorCounts {
-    /// Connections there now.
+    /// Connections now.
     pub connections: usize,
-    /// Those among them without an open call.
+    /// Those without an open request.
     pub idle: usize,
-    /// Those with a message that is not whole.
+    /// Those with a partial message.
     pub half: usize,
-    /// Those that do not read.
+    /// Those whose client does not read.
     pub stalled: usize,
-    /// Connections that came.
+    /// Connections that were offered.
     pub arrived: u64,
     /// Pings sent.
     pub pings: u64,
     /// Connections asked to leave.
     pub asked: u64,
-    /// Some are still to be asked.
+    /// Whether some connections are still to be asked to leave.
     pub asking: bool,
-    /// Calls refused since their connection had too many open.
+    /// Requests refused because their connection had too many open.
     pub refused: u64,
-    /// Connections closed or turned away, by reason.
+    /// Connections closed or rejected, by reason.
     pub closed: Vec<(String, u64)>,
 }
 
-// The queues. The first four hold connections without an open call.
-const FRAMED: usize = 0;
-const HTTP: usize = 1;
+// The timer queues. The first four, and `NEVER_ANSWERED`, hold connections without an open request.
+const IDLE_FRAMED: usize = 0;
+const IDLE_HTTP: usize = 1;
 const PINGED: usize = 2;
-const ASKED: usize = 3;
-const HALF: usize = 4;
+const ASKED_TO_LEAVE: usize = 3;
+const PARTIAL: usize = 4;
 const STALLED: usize = 5;
-/// Nothing was answered to it yet.
-const NEW: usize = 6;
+const NEVER_ANSWERED: usize = 6;
 const QUEUES: usize = 7;
-/// The one queue of those whose message is not whole, by their last bytes.
+/// The only queue of `silence_timers`: connections with a partial message, by when bytes were last received.
 const SILENT: usize = 0;
 
-/// When all places are taken, whether that is still so is looked at again after this.
-const LOOK_AGAIN: Micros = 1_000_000;
-/// So many a second may leave together without harm to whoever takes them.
-const FEW: u64 = 100;
-/// In the order in which they are looked through for one that gives way.
-const IDLE: [usize; 5] = [ASKED, NEW, PINGED, FRAMED, HTTP];
+/// At the connection limit, the time until `may_accept` is to be asked again if no timer tells it.
+const FULL_RECHECK: Micros = 1_000_000;
+/// Clients that reconnect at up to this rate overload no one, so draining need not be slower.
+const MIN_DRAIN_PER_S: u64 = 100;
+/// Queues of idle connections, in the order in which they are searched for one to evict.
+const IDLE_QUEUES: [usize; 5] = [ASKED_TO_LEAVE, NEVER_ANSWERED, PINGED, IDLE_FRAMED, IDLE_HTTP];
 
-/// Tenants that shares are kept for; what comes after shares one.
-const MOST_TENANTS: usize = 1_024;
-/// When one has to give way, so many of the longest idle are looked at for one whose address or tenant has
-/// more than its share.
-const LOOK_AT: usize = 64;
+/// Tenants with a share of their own; the connections of others belong to no tenant.
+const MAX_TENANTS: usize = 1_024;
+/// For an eviction, this many connections of each queue, longest idle first, are searched for one whose
+/// address or tenant exceeds its share.
+const EVICTION_SCAN: usize = 64;
 
-/// Groups are addresses or tenants; each counts its connections.
+/// Connection counts of groups; a group is an address or a tenant.
 #[derive(Clone, Debug, Default)]
 struct Groups<K> {
     by_key: HashMap<K, u32>,
@@ -194,50 +195,51 @@
         self.counts[group as usize].1 as usize
     }
 
-    /// Whether a group holds so much that others may take from it when all places are taken: over twice an equal
-    /// part, with so many groups besides those that are here.
-    fn is_greedy(&self, group: u32, places: usize, more: usize) -> bool {
-        let part = places / (self.by_key.len() + more).max(1);
-        self.count(group) > 2 * part.max(1)
+    /// Whether a group has so many connections that they may be evicted for others at the connection limit:
+    /// more than twice an equal share of `limit` among the present groups and `new_groups` more.
+    fn exceeds_share(&self, group: u32, limit: usize, new_groups: usize) -> bool {
+        let share = limit / (self.by_key.len() + new_groups).max(1);
+        self.count(group) > 2 * share.max(1)
     }
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Guest {
-    address: u32,
-    /// `u32::MAX`: it has asked for nothing yet.
-    tenant: u32,
+struct ConnectionState {
+    address_group: u32,
+    /// `NO_TENANT` until its first request.
+    tenant_group: u32,
     /// Calls and awaits without their answer.
-    open: u32,
-    /// Bytes of a message that is not whole. It saturates at the largest.
-    held: u32,
-    here: bool,
+    open_requests: u32,
+    /// Bytes of the partial message; saturates at `u32::MAX`.
+    partial_bytes: u32,
+    /// Whether the slot is in use.
+    connected: bool,
     http: bool,
     stalled: bool,
-    asked: bool,
-    /// Nothing was answered to it yet.
-    new: bool,
+    asked_to_leave: bool,
+    never_answered: bool,
 }
 
 const NO_TENANT: u32 = u32::MAX;
-const NOBODY: Guest = Guest {
-    address: 0,
-    tenant: NO_TENANT,
-    open: 0,
-    held: 0,
-    here: false,
+const VACANT: ConnectionState = ConnectionState {
+    address_group: 0,
+    tenant_group: NO_TENANT,
+    open_requests: 0,
+    partial_bytes: 0,
+    connected: false,
     http: false,
     stalled: false,
-    asked: false,
-    new: true,
+    asked_to_leave: false,
+    never_answered: true,
 };
 
-/// Asking connections to leave, spread over time.
+/// Asks connections to leave, spread over time.
 #[derive(Clone, Debug)]
-struct Farewell {
-    pace: Pace,
-    /// How many are still to be asked; all: also those that come while it lasts.
-    left: usize,
+struct Drain {
+    rate: TokenBucket,
+    /// How many are still to be asked.
+    remaining: usize,
+    /// All are to leave, including those accepted during the drain.
     all: bool,
 }
 
@@ -245,31 +247,33 @@
 #[derive(Clone, Debug)]
 pub struct Door {
     limits: DoorLimits,
-    spans: Spans,
-    /// Those of the queue of half messages once more, in the order of their last bytes.
-    silent_halves: Spans,
-    guests: Vec<Guest>,
-    here: usize,
-    half_bytes: usize,
+    timers: TimerQueues,
+    /// The connections of `PARTIAL` again, ordered by when bytes were last received.
+    silence_timers: TimerQueues,
+    /// By slot.
+    connections: Vec<ConnectionState>,
+    connected: usize,
+    partial_bytes: usize,
     addresses: Groups<IpAddr>,
     tenants: Groups<String>,
-    accepts: Pace,
-    pings: Pace,
-    /// A batch of pings is under way.
+    accept_rate: TokenBucket,
+    ping_rate: TokenBucket,
+    /// A batch of pings is being sent.
     pinging: bool,
-    farewell: Option<Farewell>,
-    /// Another door of the same gateway has places.
-    room_elsewhere: bool,
-    /// Where the farewell looks next.
-    cursor: usize,
+    drain: Option<Drain>,
+    /// Another process of the same gateway is below its connection limit.
+    capacity_elsewhere: bool,
+    /// The slot at which the drain goes on.
+    drain_cursor: usize,
     arrived: u64,
-    pinged: u64,
-    asked: u64,
-    refused: u64,
+    pings_sent: u64,
+    asked_to_leave: u64,
+    refused_requests: u64,
     closed: Vec<(&'static str, u64)>,
 }
 
-/// IPv6 clients choose their lower 64 bits freely.
+/// The address that shares are counted by. IPv6 clients choose the lower 64 bits of theirs, so the network
+/// counts.
 fn group_of(address: IpAddr) -> IpAddr {
     match address.to_canonical() {
         IpAddr::V6(v6) => IpAddr::V6((u128::from(v6) >> 64 << 64).into()),
@@ -277,480 +281,495 @@
     }
 }
 
-/// Connections taken at once after a quiet time.
+/// Connections that may be accepted at once.
 fn accept_burst(limits: &DoorLimits) -> u64 {
     (limits.accepts_per_s / 10).max(64)
 }
 
-/// Pings that leave together: those of a quarter of a second.
-fn batch(limits: &DoorLimits) -> u64 {
+/// Pings sent together: those of a quarter of a second.
+fn ping_batch(limits: &DoorLimits) -> u64 {
     (limits.pings_per_s / 4).max(1)
 }
 
 impl Door {
-    /// A door that nobody has come to.
+    /// Starts without connections.
     pub fn new(now: Micros, limits: DoorLimits) -> Self {
-        let mut door = Self {
+        let mut limiter = Self {
             limits,
-            spans: Spans::new(now, &[0; QUEUES]),
-            silent_halves: Spans::new(now, &[0]),
-            guests: Vec::new(),
-            here: 0,
-            half_bytes: 0,
+            timers: TimerQueues::new(now, &[0; QUEUES]),
+            silence_timers: TimerQueues::new(now, &[0]),
+            connections: Vec::new(),
+            connected: 0,
+            partial_bytes: 0,
             addresses: Groups { by_key: HashMap::new(), counts: Vec::new(), free: Vec::new() },
             tenants: Groups { by_key: HashMap::new(), counts: Vec::new(), free: Vec::new() },
-            accepts: Pace::new(now, limits.accepts_per_s, accept_burst(&limits)),
-            pings: Pace::empty(now, limits.pings_per_s, batch(&limits)),
+            accept_rate: TokenBucket::new(now, limits.accepts_per_s, accept_burst(&limits)),
+            ping_rate: TokenBucket::empty(now, limits.pings_per_s, ping_batch(&limits)),
             pinging: false,
-            farewell: None,
-            room_elsewhere: false,
-            cursor: 0,
+            drain: None,
+            capacity_elsewhere: false,
+            drain_cursor: 0,
             arrived: 0,
-            pinged: 0,
-            asked: 0,
-            refused: 0,
+            pings_sent: 0,
+            asked_to_leave: 0,
+            refused_requests: 0,
             closed: Vec::new(),
         };
-        door.set_spans();
-        door
+        limiter.set_timeouts();
+        limiter
     }
 
-    fn set_spans(&mut self) {
+    fn set_timeouts(&mut self) {
         let limits = &self.limits;
-        let spans = [
-            (FRAMED, if limits.pings_per_s > 0 { limits.ping_after } else { limits.idle }),
-            (HTTP, limits.idle),
+        let timeouts = [
+            (IDLE_FRAMED, if limits.pings_per_s > 0 { limits.ping_after } else { limits.idle }),
+            (IDLE_HTTP, limits.idle),
             (PINGED, limits.ping_wait),
-            (ASKED, limits.ping_wait),
-            (HALF, limits.half),
+            (ASKED_TO_LEAVE, limits.ping_wait),
+            (PARTIAL, limits.half),
             (STALLED, limits.stall),
-            (NEW, limits.unasked),
+            (NEVER_ANSWERED, limits.unasked),
         ];
-        spans.into_iter().for_each(|(queue, span)| self.spans.change(queue, span));
-        let silent = if limits.half_silent > 0 { limits.half_silent } else { limits.half };
-        self.silent_halves.change(SILENT, silent);
+        timeouts.into_iter().for_each(|(queue, timeout)| self.timers.set_timeout(queue, timeout));
+        let silence = if limits.half_silent > 0 { limits.half_silent } else { limits.half };
+        self.silence_timers.set_timeout(SILENT, silence);
     }
 
-    /// New bounds. If fewer connections are allowed than are there, the longest idle are asked to leave.
+    /// Sets new limits. If there are more connections than they allow, the longest idle are asked to leave.
     pub fn change(&mut self, now: Micros, limits: DoorLimits) {
         self.limits = limits;
-        self.set_spans();
-        self.accepts.change(now, limits.accepts_per_s, accept_burst(&limits));
-        self.pings.change(now, limits.pings_per_s, batch(&limits));
-        let over = self.here.saturating_sub(limits.connections);
-        if over > 0 && !self.farewell.as_ref().is_some_and(|f| f.all) {
-            self.say_farewell(now, over, false);
+        self.set_timeouts();
+        self.accept_rate.set_rate(now, limits.accepts_per_s, accept_burst(&limits));
+        self.ping_rate.set_rate(now, limits.pings_per_s, ping_batch(&limits));
+        let excess = self.connected.saturating_sub(limits.connections);
+        if excess > 0 && !self.drain.as_ref().is_some_and(|drain| drain.all) {
+            self.start_drain(now, excess, false);
         }
     }
 
-    /// Whether another door of the same gateway has places: then nobody has to give way here.
-    pub fn room_elsewhere(&mut self, room: bool) {
-        self.room_elsewhere = room;
+    /// Whether another process of the same gateway is below its connection limit: then none is evicted here.
+    pub fn room_elsewhere(&mut self, capacity_elsewhere: bool) {
+        self.capacity_elsewhere = capacity_elsewhere;
     }
 
-    /// From now on all are asked to leave, spread over `leave_over`.
+    /// Asks all connections to leave, spread over `leave_over`, and each that is accepted from now on.
     pub fn leave(&mut self, now: Micros) {
-        self.say_farewell(now, self.here, true);
+        self.start_drain(now, self.connected, true);
     }
 
-    fn say_farewell(&mut self, now: Micros, left: usize, all: bool) {
-        let over = self.limits.leave_over.max(1);
-        let per_s = (left as u64).saturating_mul(1_000_000).div_ceil(over).max(FEW);
-        self.farewell = Some(Farewell { pace: Pace::empty(now, per_s, per_s.div_ceil(50)), left, all });
-        self.cursor = 0;
+    fn start_drain(&mut self, now: Micros, remaining: usize, all: bool) {
+        let duration = self.limits.leave_over.max(1);
+        let per_s = (remaining as u64).saturating_mul(1_000_000).div_ceil(duration).max(MIN_DRAIN_PER_S);
+        self.drain = Some(Drain { rate: TokenBucket::empty(now, per_s, per_s.div_ceil(50)), remaining, all });
+        self.drain_cursor = 0;
     }
 
-    /// Whether one more connection may be taken now; otherwise, when that is to be asked again (at the latest:
-    /// a connection that closes makes room as well).
+    /// Whether one more connection may be accepted now. If not, when to ask again at the latest: a connection
+    /// that closes may allow it earlier.
     pub fn may_accept(&self, now: Micros) -> Result<(), Micros> {
-        let full = self.here >= self.limits.connections;
-        if full && self.room_elsewhere {
-            return Err(now + LOOK_AGAIN);
+        let full = self.connected >= self.limits.connections;
+        if full && self.capacity_elsewhere {
+            return Err(now + FULL_RECHECK);
         }
-        // Whoever holds far more than a share makes room for others at once; who comes is not known yet.
-        if full && self.greedy(1).is_none() {
+        // A group that exceeds its share loses a connection at once. The address of the new connection is not
+        // known yet, so it counts as one more group.
+        if full && self.idle_over_share(1).is_none() {
             return match self.longest_idle(now, |_| true) {
-                Some((_, since)) if since + self.limits.evict_after <= now => self.pace(now),
+                Some((_, since)) if since + self.limits.evict_after <= now => self.check_accept_rate(now),
                 Some((_, since)) => Err(since + self.limits.evict_after),
-                None => Err(now + LOOK_AGAIN),
+                None => Err(now + FULL_RECHECK),
             };
         }
-        self.pace(now)
+        self.check_accept_rate(now)
     }
 
-    fn pace(&self, now: Micros) -> Result<(), Micros> {
-        match self.accepts.next(now) {
+    fn check_accept_rate(&self, now: Micros) -> Result<(), Micros> {
+        match self.accept_rate.next_token_at(now) {
             Some(at) if at <= now => Ok(()),
             at => Err(at.unwrap_or(Micros::MAX)),
         }
     }
 
-    /// The connection that has been silent for the longest time, without an open call; one that was never answered first.
-    fn longest_idle(&self, now: Micros, mut quiet: impl FnMut(usize) -> bool) -> Option<(usize, Micros)> {
-        let mut first = |queue| self.spans.slots(queue).take(LOOK_AT).find(|slot| quiet(*slot));
-        let new = first(NEW).and_then(|slot| Some((slot, self.spans.since(slot)?)));
-        if let Some(new) = new.filter(|(_, since)| since + self.limits.evict_after <= now) {
-            return Some(new);
+    /// The connection to evict among those without an open request: one that was never answered, if it has
+    /// been idle for long enough, else the longest idle. With it, since when it is idle.
+    fn longest_idle(&self, now: Micros, mut is_quiet: impl FnMut(usize) -> bool) -> Option<(usize, Micros)> {
+        let mut first = |queue| self.timers.slots(queue).take(EVICTION_SCAN).find(|slot| is_quiet(*slot));
+        let unanswered = first(NEVER_ANSWERED).and_then(|slot| Some((slot, self.timers.since(slot)?)));
+        if let Some(unanswered) = unanswered.filter(|(_, since)| since + self.limits.evict_after <= now) {
+            return Some(unanswered);
         }
-        // Those pinged were silent for `ping_after` before.
-        let mut earlier = |queue, before: Micros| {
+        // A pinged connection had been idle for `ping_after` before the ping.
+        let mut idle_since = |queue, idle_before: Micros| {
             let slot = first(queue)?;
-            Some((slot, self.spans.since(slot)?.saturating_sub(before)))
+            Some((slot, self.timers.since(slot)?.saturating_sub(idle_before)))
         };
-        let pinged = earlier(PINGED, self.limits.ping_after);
-        let firsts = [pinged, earlier(FRAMED, 0), earlier(HTTP, 0), earlier(ASKED, 0)];
-        firsts.into_iter().flatten().chain(new).min_by_key(|(_, since)| *since)
+        let pinged = idle_since(PINGED, self.limits.ping_after);
+        let firsts =
+            [pinged, idle_since(IDLE_FRAMED, 0), idle_since(IDLE_HTTP, 0), idle_since(ASKED_TO_LEAVE, 0)];
+        firsts.into_iter().flatten().chain(unanswered).min_by_key(|(_, since)| *since)
     }
 
-    /// A connection came. When all places are taken, only one that is `quiet` gives way: nothing came on it that was
-    /// not seen to yet.
+    /// Decides about a new connection. At the connection limit, only a connection that `is_quiet` is evicted:
+    /// one without received bytes that are still to be handled.
     pub fn arrives(
         &mut self,
         now: Micros,
         slot: usize,
         address: IpAddr,
         http: bool,
-        quiet: impl FnMut(usize) -> bool,
+        is_quiet: impl FnMut(usize) -> bool,
     ) -> Arrival {
         self.arrived += 1;
-        self.accepts.take(now);
-        if slot >= self.guests.len() {
-            self.guests.resize(slot + 1, NOBODY);
+        self.accept_rate.try_take(now);
+        if slot >= self.connections.len() {
+            self.connections.resize(slot + 1, VACANT);
         }
-        debug_assert!(!self.guests[slot].here, "a slot is used by one at a time");
-        let full = self.here >= self.limits.connections;
-        let address = self.addresses.join(&group_of(address));
-        let instead = if full { self.gives_way(now, address, quiet) } else { Ok(None) };
-        let instead = match instead {
-            Ok(instead) => instead,
-            Err(why) => {
-                self.addresses.leave(address);
-                self.count(why);
-                return Arrival::Away(why);
+        debug_assert!(!self.connections[slot].connected, "slot {slot} is already in use");
+        let full = self.connected >= self.limits.connections;
+        let address_group = self.addresses.join(&group_of(address));
+        let evicted = if full { self.choose_evicted(now, address_group, is_quiet) } else { Ok(None) };
+        let evicted = match evicted {
+            Ok(evicted) => evicted,
+            Err(reason) => {
+                self.addresses.leave(address_group);
+                self.count_closed(reason);
+                return Arrival::Away(reason);
             }
         };
-        self.guests[slot] = Guest { address, http, here: true, ..NOBODY };
-        self.here += 1;
-        self.rest(now, slot);
-        match instead {
-            Some(victim) => {
-                self.count("room-needed");
-                Arrival::Instead(victim)
+        self.connections[slot] = ConnectionState { address_group, http, connected: true, ..VACANT };
+        self.connected += 1;
+        self.update_timers(now, slot);
+        match evicted {
+            Some(evicted) => {
+                self.count_closed("room-needed");
+                Arrival::Instead(evicted)
             }
             None => Arrival::Welcome,
         }
     }
 
-    /// Who gives way to a connection of that address when all places are taken.
-    fn gives_way(
+    /// Which connection is evicted, at the connection limit, for a new one of this address; the error is the
+    /// reason to reject the new one.
+    fn choose_evicted(
         &self,
         now: Micros,
-        newcomer: u32,
-        mut quiet: impl FnMut(usize) -> bool,
+        new_address: u32,
+        mut is_quiet: impl FnMut(usize) -> bool,
     ) -> Result<Option<usize>, &'static str> {
-        let greedy = self.addresses.is_greedy(newcomer, self.limits.connections, 0);
-        if greedy {
-            // It may only take the place of one of its own.
-            let long = |slot: &usize| self.idle_for(now, *slot) >= self.limits.evict_after;
-            let mut own = self.long_idle().filter(|slot| self.guests[*slot].address == newcomer);
-            return match own.find(|slot| long(slot) && quiet(*slot)) {
-                Some(own) => Ok(Some(own)),
+        let over_share = self.addresses.exceeds_share(new_address, self.limits.connections, 0);
+        if over_share {
+            // Only a connection of the same address may be evicted.
+            let is_long_idle = |slot: &usize| self.idle_for(now, *slot) >= self.limits.evict_after;
+            let mut same_address =
+                self.idle_candidates().filter(|slot| self.connections[*slot].address_group == new_address);
+            return match same_address.find(|slot| is_long_idle(slot) && is_quiet(*slot)) {
+                Some(evicted) => Ok(Some(evicted)),
                 None => Err("address-share"),
             };
         }
-        if let Some(slot) = self.greedy(0).filter(|slot| quiet(*slot)) {
+        if let Some(slot) = self.idle_over_share(0).filter(|slot| is_quiet(*slot)) {
             return Ok(Some(slot));
         }
-        match self.longest_idle(now, quiet) {
+        match self.longest_idle(now, is_quiet) {
             Some((slot, since)) if since + self.limits.evict_after <= now => Ok(Some(slot)),
             _ => Err("full"),
         }
     }
 
-    /// Some of those that have been idle the longest.
-    fn long_idle(&self) -> impl Iterator<Item = usize> + '_ {
-        IDLE.into_iter().flat_map(|queue| self.spans.slots(queue).take(LOOK_AT))
+    /// The longest idle connections of each idle queue.
+    fn idle_candidates(&self) -> impl Iterator<Item = usize> + '_ {
+        IDLE_QUEUES.into_iter().flat_map(|queue| self.timers.slots(queue).take(EVICTION_SCAN))
     }
 
-    /// An idle connection of an address or tenant that holds far more than its share, however short it has been
-    /// idle.
-    fn greedy(&self, more: usize) -> Option<usize> {
-        let places = self.limits.connections;
-        self.long_idle().find(|slot| {
-            let guest = &self.guests[*slot];
-            self.addresses.is_greedy(guest.address, places, more)
-                || (guest.tenant != NO_TENANT && self.tenants.is_greedy(guest.tenant, places, 0))
+    /// An idle connection, for however short a time, whose address or tenant exceeds its share.
+    fn idle_over_share(&self, new_addresses: usize) -> Option<usize> {
+        let limit = self.limits.connections;
+        self.idle_candidates().find(|slot| {
+            let connection = &self.connections[*slot];
+            self.addresses.exceeds_share(connection.address_group, limit, new_addresses)
+                || (connection.tenant_group != NO_TENANT
+                    && self.tenants.exceeds_share(connection.tenant_group, limit, 0))
         })
     }
 
     fn idle_for(&self, now: Micros, slot: usize) -> Micros {
-        self.spans.since(slot).map_or(0, |since| now.saturating_sub(since))
+        self.timers.since(slot).map_or(0, |since| now.saturating_sub(since))
     }
 
-    /// Puts a connection where its state belongs.
-    fn rest(&mut self, now: Micros, slot: usize) {
-        let guest = self.guests[slot];
-        let queue = if guest.stalled {
+    /// Moves a connection to the timer queue of its state.
+    fn update_timers(&mut self, now: Micros, slot: usize) {
+        let connection = self.connections[slot];
+        let queue = if connection.stalled {
             STALLED
-        } else if guest.held > 0 {
-            HALF
-        } else if guest.open > 0 {
-            return self.take_out(slot);
-        } else if guest.asked {
-            ASKED
-        } else if guest.new && self.limits.unasked > 0 {
-            NEW
-        } else if guest.http {
-            HTTP
+        } else if connection.partial_bytes > 0 {
+            PARTIAL
+        } else if connection.open_requests > 0 {
+            return self.remove_timers(slot);
+        } else if connection.asked_to_leave {
+            ASKED_TO_LEAVE
+        } else if connection.never_answered && self.limits.unasked > 0 {
+            NEVER_ANSWERED
+        } else if connection.http {
+            IDLE_HTTP
         } else {
-            FRAMED
+            IDLE_FRAMED
         };
-        // The time of a half message, and of one that does not read, runs from its beginning.
-        let runs_on = matches!(queue, HALF | STALLED) && self.spans.queue(slot) == Some(queue);
-        if !runs_on {
-            self.spans.put(now, slot, queue);
+        // The timeouts of partial messages and stalled clients run from the beginning of that state.
+        let keeps_timer = matches!(queue, PARTIAL | STALLED) && self.timers.queue_of(slot) == Some(queue);
+        if !keeps_timer {
+            self.timers.insert(now, slot, queue);
         }
-        if queue != HALF {
-            self.silent_halves.take_out(slot);
-        } else if self.silent_halves.queue(slot).is_none() {
-            self.silent_halves.put(now, slot, SILENT);
+        if queue != PARTIAL {
+            self.silence_timers.remove(slot);
+        } else if self.silence_timers.queue_of(slot).is_none() {
+            self.silence_timers.insert(now, slot, SILENT);
         }
     }
 
-    /// Takes a connection out of all queues.
-    fn take_out(&mut self, slot: usize) {
-        self.spans.take_out(slot);
-        self.silent_halves.take_out(slot);
+    /// Removes a connection from all timer queues.
+    fn remove_timers(&mut self, slot: usize) {
+        self.timers.remove(slot);
+        self.silence_timers.remove(slot);
     }
 
-    fn guest(&mut self, slot: usize) -> Option<&mut Guest> {
-        self.guests.get_mut(slot).filter(|guest| guest.here)
+    fn connection_mut(&mut self, slot: usize) -> Option<&mut ConnectionState> {
+        self.connections.get_mut(slot).filter(|connection| connection.connected)
     }
 
-    /// A connection showed a sign of life, or none where one is due.
+    /// Updates the state of a connection by what was observed on it.
     pub fn sign(&mut self, now: Micros, slot: usize, sign: Sign) {
-        let Some(guest) = self.guest(slot) else { return };
+        let Some(connection) = self.connection_mut(slot) else { return };
         match sign {
-            Sign::Heard(held) => {
-                let held = u32::try_from(held).unwrap_or(u32::MAX);
-                let before = std::mem::replace(&mut guest.held, held);
-                self.half_bytes = self.half_bytes - before as usize + held as usize;
-                // Its silence begins anew.
-                self.silent_halves.take_out(slot);
+            Sign::Heard(partial_bytes) => {
+                let partial_bytes = u32::try_from(partial_bytes).unwrap_or(u32::MAX);
+                let before = std::mem::replace(&mut connection.partial_bytes, partial_bytes);
+                self.partial_bytes = self.partial_bytes - before as usize + partial_bytes as usize;
+                // Restarts the timer of its silence.
+                self.silence_timers.remove(slot);
             }
-            Sign::Stalled => guest.stalled = true,
-            Sign::Reads => guest.stalled = false,
+            Sign::Stalled => connection.stalled = true,
+            Sign::Reads => connection.stalled = false,
         }
-        self.rest(now, slot);
+        self.update_timers(now, slot);
     }
 
-    /// A message that was under way is whole: the next one's time begins anew.
+    /// The partial message is complete; the timeout of the next one starts with its own first byte.
     pub fn whole(&mut self, now: Micros, slot: usize) {
         self.sign(now, slot, Sign::Heard(0));
     }
 
-    /// A connection asked for something that will be answered.
+    /// A connection sent a request that will be answered.
     pub fn asks(&mut self, now: Micros, slot: usize, tenant: &str) {
-        let Some(guest) = self.guest(slot) else { return };
-        guest.open += 1;
-        let before = guest.tenant;
+        let Some(connection) = self.connection_mut(slot) else { return };
+        connection.open_requests += 1;
+        let before = connection.tenant_group;
         let same = before != NO_TENANT && self.tenants.counts[before as usize].0.as_deref() == Some(tenant);
         if !tenant.is_empty() && !same {
             let known = self.tenants.by_key.contains_key(tenant);
-            let room = known || self.tenants.by_key.len() < MOST_TENANTS;
+            let is_counted = known || self.tenants.by_key.len() < MAX_TENANTS;
             if before != NO_TENANT {
                 self.tenants.leave(before);
             }
-            let joined = if room { self.tenants.join(&tenant.to_owned()) } else { NO_TENANT };
-            self.guests[slot].tenant = joined;
+            let joined = if is_counted { self.tenants.join(&tenant.to_owned()) } else { NO_TENANT };
+            self.connections[slot].tenant_group = joined;
         }
-        self.rest(now, slot);
+        self.update_timers(now, slot);
     }
 
-    /// It was answered.
+    /// A request was answered.
     pub fn answered(&mut self, now: Micros, slot: usize) {
-        self.guest(slot).into_iter().for_each(|guest| guest.new = false);
+        self.connection_mut(slot).into_iter().for_each(|connection| connection.never_answered = false);
         self.called_off(now, slot);
     }
 
-    /// It no longer waits for an answer.
+    /// A request was canceled.
     pub fn called_off(&mut self, now: Micros, slot: usize) {
-        let Some(guest) = self.guest(slot) else { return };
-        guest.open = guest.open.saturating_sub(1);
-        if guest.open == 0 {
-            self.rest(now, slot);
+        let Some(connection) = self.connection_mut(slot) else { return };
+        connection.open_requests = connection.open_requests.saturating_sub(1);
+        if connection.open_requests == 0 {
+            self.update_timers(now, slot);
         }
     }
 
-    /// A call was refused since its connection had too many open.
+    /// A request was refused because its connection had too many open.
     pub fn refused(&mut self) {
-        self.refused += 1;
+        self.refused_requests += 1;
     }
 
     /// Calls and awaits of a connection without their answer.
     pub fn open(&self, slot: usize) -> u32 {
-        self.guests.get(slot).filter(|guest| guest.here).map_or(0, |guest| guest.open)
+        self.connections
+            .get(slot)
+            .filter(|connection| connection.connected)
+            .map_or(0, |connection| connection.open_requests)
     }
 
-    /// A connection is gone. False: it was not here.
+    /// A connection was closed. False: the slot was vacant.
     pub fn left(&mut self, slot: usize) -> bool {
-        let Some(guest) = self.guest(slot).copied() else { return false };
-        self.take_out(slot);
-        self.addresses.leave(guest.address);
-        if guest.tenant != NO_TENANT {
-            self.tenants.leave(guest.tenant);
+        let Some(connection) = self.connection_mut(slot).copied() else { return false };
+        self.remove_timers(slot);
+        self.addresses.leave(connection.address_group);
+        if connection.tenant_group != NO_TENANT {
+            self.tenants.leave(connection.tenant_group);
         }
-        self.half_bytes -= guest.held as usize;
-        self.guests[slot] = NOBODY;
-        self.here -= 1;
+        self.partial_bytes -= connection.partial_bytes as usize;
+        self.connections[slot] = VACANT;
+        self.connected -= 1;
         true
     }
 
-    /// What is due. Each act is told once; a connection that is to be closed is reported by `left` as all are.
+    /// The next action that is due; each is returned once. A connection that is to be closed counts until
+    /// `left` is called for it, as for any other.
     pub fn act(&mut self, now: Micros) -> Option<Act> {
-        if let Some(act) = self.farewells(now) {
+        if let Some(act) = self.drain_next(now) {
             return Some(act);
         }
-        if self.half_bytes > self.limits.half_bytes
-            && let Some((slot, _)) = self.spans.first(HALF)
+        if self.partial_bytes > self.limits.half_bytes
+            && let Some((slot, _)) = self.timers.first(PARTIAL)
         {
             return Some(self.close(slot, "half-bytes"));
         }
-        let too_many = self.half_too_many().find(|(_, due)| *due <= now);
-        if let Some((slot, _)) = too_many {
+        let excess = self.excess_partial().find(|(_, due)| *due <= now);
+        if let Some((slot, _)) = excess {
             return Some(self.close(slot, "half-many"));
         }
-        if let Some((slot, _)) = self.silent_halves.first(SILENT).filter(|(_, due)| *due <= now) {
+        if let Some((slot, _)) = self.silence_timers.first(SILENT).filter(|(_, due)| *due <= now) {
             return Some(self.close(slot, "half-sent"));
         }
-        let endings = [
-            (HTTP, "idle"),
+        let close_reasons = [
+            (IDLE_HTTP, "idle"),
             (PINGED, "vanished"),
-            (ASKED, "asked-to-leave"),
-            (HALF, "half-sent"),
+            (ASKED_TO_LEAVE, "asked-to-leave"),
+            (PARTIAL, "half-sent"),
             (STALLED, "does-not-read"),
-            (NEW, "never-answered"),
+            (NEVER_ANSWERED, "never-answered"),
         ];
-        for (queue, why) in endings {
-            if let Some((slot, _)) = self.spans.first(queue).filter(|(_, due)| *due <= now) {
-                return Some(self.close(slot, why));
+        for (queue, reason) in close_reasons {
+            if let Some((slot, _)) = self.timers.first(queue).filter(|(_, due)| *due <= now) {
+                return Some(self.close(slot, reason));
             }
         }
-        let (slot, _) = self.spans.first(FRAMED).filter(|(_, due)| *due <= now)?;
+        let (slot, _) = self.timers.first(IDLE_FRAMED).filter(|(_, due)| *due <= now)?;
         if self.limits.pings_per_s == 0 {
             return Some(self.close(slot, "idle"));
         }
-        // In batches: a wake-up costs more than a ping.
-        self.pinging |= self.pings.is_full(now);
-        if !self.pinging || !self.pings.take(now) {
+        // Pings are sent in batches, because a wake-up of the process costs more than a ping.
+        self.pinging |= self.ping_rate.is_full(now);
+        if !self.pinging || !self.ping_rate.try_take(now) {
             self.pinging = false;
             return None;
         }
-        // Only what comes from the other side puts it back among the idle.
-        self.spans.put(now, slot, PINGED);
-        self.pinged += 1;
+        // Only bytes received from the client make the connection count as idle again.
+        self.timers.insert(now, slot, PINGED);
+        self.pings_sent += 1;
         Some(Act::Ping(slot))
     }
 
-    /// With more half messages than may be: who may give way for that, silent the longest first, and from when on.
-    fn half_too_many(&self) -> impl Iterator<Item = (usize, Micros)> + '_ {
-        let too_many = self.spans.len(HALF) > self.limits.half_connections;
-        let longest_silent = self.silent_halves.slots(SILENT).take(if too_many { LOOK_AT } else { 0 });
-        let without_calls = longest_silent.filter(|slot| self.guests[*slot].open == 0);
-        without_calls
-            .filter_map(|slot| Some((slot, self.spans.since(slot)?.saturating_add(self.limits.evict_after))))
+    /// If there are more partial messages than allowed: the connections that may be closed for that, longest
+    /// silent first, and from when on.
+    fn excess_partial(&self) -> impl Iterator<Item = (usize, Micros)> + '_ {
+        let too_many = self.timers.len(PARTIAL) > self.limits.half_connections;
+        let longest_silent = self.silence_timers.slots(SILENT).take(if too_many { EVICTION_SCAN } else { 0 });
+        let without_requests = longest_silent.filter(|slot| self.connections[*slot].open_requests == 0);
+        without_requests
+            .filter_map(|slot| Some((slot, self.timers.since(slot)?.saturating_add(self.limits.evict_after))))
     }
 
-    fn close(&mut self, slot: usize, why: &'static str) -> Act {
-        self.take_out(slot);
-        self.count(why);
-        Act::Close(slot, why)
+    fn close(&mut self, slot: usize, reason: &'static str) -> Act {
+        self.remove_timers(slot);
+        self.count_closed(reason);
+        Act::Close(slot, reason)
     }
 
-    fn farewells(&mut self, now: Micros) -> Option<Act> {
-        let farewell = self.farewell.as_mut()?;
-        if farewell.left == 0 {
-            // Those who come while all leave are told at once.
-            let (all, came) = (farewell.all, self.guests.len());
+    fn drain_next(&mut self, now: Micros) -> Option<Act> {
+        let drain = self.drain.as_mut()?;
+        if drain.remaining == 0 {
+            // While all are to leave, connections accepted meanwhile are asked as well.
+            let (all, slots) = (drain.all, self.connections.len());
             if !all {
-                self.farewell = None;
+                self.drain = None;
                 return None;
             }
-            if self.cursor >= came {
+            if self.drain_cursor >= slots {
                 return None;
             }
         }
-        let next = if farewell.all {
-            // In the order of their slots, which is no order that anyone chose.
-            let waiting = |slot: &usize| self.guests[*slot].here && !self.guests[*slot].asked;
-            let next = (self.cursor..self.guests.len()).find(waiting);
-            self.cursor = next.unwrap_or(self.guests.len());
+        let next = if drain.all {
+            // The order of slots is independent of how clients behave.
+            let is_waiting =
+                |slot: &usize| self.connections[*slot].connected && !self.connections[*slot].asked_to_leave;
+            let next = (self.drain_cursor..self.connections.len()).find(is_waiting);
+            self.drain_cursor = next.unwrap_or(self.connections.len());
             next
         } else {
-            [PINGED, FRAMED, HTTP].into_iter().find_map(|queue| self.spans.slots(queue).next())
+            [PINGED, IDLE_FRAMED, IDLE_HTTP].into_iter().find_map(|queue| self.timers.slots(queue).next())
         };
         let Some(slot) = next else {
-            farewell.left = 0;
+            drain.remaining = 0;
             return None;
         };
-        if !farewell.pace.take(now) {
+        if !drain.rate.try_take(now) {
             return None;
         }
-        farewell.left = farewell.left.saturating_sub(1);
-        self.guests[slot].asked = true;
-        self.asked += 1;
-        self.rest(now, slot);
+        drain.remaining = drain.remaining.saturating_sub(1);
+        self.connections[slot].asked_to_leave = true;
+        self.asked_to_leave += 1;
+        self.update_timers(now, slot);
         Some(Act::AskToLeave(slot))
     }
 
-    /// When [`Door::act`] has something to say at the earliest.
+    /// The earliest time at which [`Door::act`] may return an action.
     pub fn next_due(&self, now: Micros) -> Option<Micros> {
-        let queues = [HTTP, PINGED, ASKED, HALF, STALLED, NEW];
-        let firsts = queues.into_iter().filter_map(|queue| self.spans.first(queue).map(|(_, due)| due));
-        let ping = self.spans.first(FRAMED).map(|(_, due)| {
+        let queues = [IDLE_HTTP, PINGED, ASKED_TO_LEAVE, PARTIAL, STALLED, NEVER_ANSWERED];
+        let timers = queues.into_iter().filter_map(|queue| self.timers.first(queue).map(|(_, due)| due));
+        let ping = self.timers.first(IDLE_FRAMED).map(|(_, due)| {
             if self.limits.pings_per_s == 0 {
                 return due;
             }
-            // Not before the budget has a batch.
-            let batch = if self.pinging { Some(now) } else { self.pings.full_at(now.max(due)) };
+            // Not before the rate allows a whole batch.
+            let batch = if self.pinging { Some(now) } else { self.ping_rate.full_at(now.max(due)) };
             due.max(batch.unwrap_or(Micros::MAX))
         });
-        let farewell = self.farewell.as_ref().filter(|f| f.left > 0).and_then(|f| f.pace.next(now));
-        let silent = self.silent_halves.first(SILENT).map(|(_, due)| due);
-        let too_many = self.half_too_many().map(|(_, due)| due);
-        firsts.chain(ping).chain(farewell).chain(silent).chain(too_many).min()
-    }
-
-    fn count(&mut self, why: &'static str) {
-        match self.closed.iter_mut().find(|(word, _)| *word == why) {
+        let drain = self
+            .drain
+            .as_ref()
+            .filter(|drain| drain.remaining > 0)
+            .and_then(|drain| drain.rate.next_token_at(now));
+        let silence = self.silence_timers.first(SILENT).map(|(_, due)| due);
+        let excess = self.excess_partial().map(|(_, due)| due);
+        timers.chain(ping).chain(drain).chain(silence).chain(excess).min()
+    }
+
+    fn count_closed(&mut self, reason: &'static str) {
+        match self.closed.iter_mut().find(|(counted, _)| *counted == reason) {
             Some((_, count)) => *count += 1,
-            None => self.closed.push((why, 1)),
+            None => self.closed.push((reason, 1)),
         }
     }
 
-    /// Whether some are still to be asked to leave.
+    /// Whether some connections are still to be asked to leave.
     pub fn is_asking(&self) -> bool {
-        self.farewell.as_ref().is_some_and(|farewell| farewell.left > 0)
+        self.drain.as_ref().is_some_and(|drain| drain.remaining > 0)
     }
 
-    /// Connections there.
+    /// Number of connections.
     pub fn here(&self) -> usize {
-        self.here
+        self.connected
     }
 
-    /// What was counted.
+    /// Counters, and current numbers of connections.
     pub fn counts(&self) -> DoorCounts {
         DoorCounts {
-            connections: self.here,
-            idle: IDLE.iter().map(|queue| self.spans.len(*queue)).sum(),
-            half: self.spans.len(HALF),
-            stalled: self.spans.len(STALLED),
+            connections: self.connected,
+            idle: IDLE_QUEUES.iter().map(|queue| self.timers.len(*queue)).sum(),
+            half: self.timers.len(PARTIAL),
+            stalled: self.timers.len(STALLED),
             arrived: self.arrived,
-            pings: self.pinged,
-            asked: self.asked,
+            pings: self.pings_sent,
+            asked: self.asked_to_leave,
             asking: self.is_asking(),
-            refused: self.refused,
-            closed: self.closed.iter().map(|(why, count)| ((*why).to_owned(), *count)).collect(),
+            refused: self.refused_requests,
+            closed: self.closed.iter().map(|(reason, count)| ((*reason).to_owned(), *count)).collect(),
         }
     }
 }
--- a/crates/admission/src/intake.rs
+++ b/crates/admission/src/intake.rs
@@ -1,38 +1,40 @@
-//! The intake: calls that came faster than they can be started.
+//! Queue of calls that arrive faster than they can be started.
 //!
-//! When ten thousand connections wake together, their calls are here within a few milliseconds and the engine needs
-//! some hundred for them. Who waits, and who is refused, is decided here, by what classes say of themselves:
+//! When ten thousand clients send a call at once, the calls arrive within a few milliseconds, but the engine
+//! needs hundreds of milliseconds to start them. Which of them wait and which are rejected depends on their
+//! classes:
 //!
-//! - the class with the shorter aim goes first, at equal aims the one of higher worth; within a class tenants take
-//!   turns;
-//! - a call waits for `share` of its class's aim at most, and is refused then, before anything has happened to it;
-//!   one that can't get its turn by then, even at twice the rate at which calls have been started lately, is
-//!   refused when it comes;
-//! - when there is more to do than fits into that time, clients are read no further: work is put into calls that
-//!   can be in time before it is put into refusals, which have until the deadlines;
-//! - each refused call is told a time of its own to come back, so that all together they come no faster than
-//!   `share` of that rate.
+//! - The class with the shorter latency objective goes first; with equal objectives, the one of higher worth.
+//!   Within a class, tenants are served round-robin.
+//! - A call waits for at most `share` of its class's objective, and is then rejected before anything of it
+//!   has run. A call that can't be started by then, even at twice the rate at which calls were started
+//!   lately, is rejected as it arrives.
+//! - With more calls queued than can be started in that time, no more is read from clients: work goes into
+//!   calls that can be in time before it goes into rejections, which are useful until the deadlines.
+//! - Each rejected call gets a retry time of its own, so that the retries together arrive at no more than
+//!   `share` of the start rate.
 //!
-//! Invariant: each call that is offered comes out exactly once, taken or refused, unless it was called off.
+//! Invariant: each offered call is returned exactly once, to be started or as rejected, unless it was
+//! canceled.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use cresswheel_protocol::Micros;
 
-/// Bounds of the intake.
+/// Limits of the queue.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct IntakeLimits {
     /// Calls that may wait.
     pub calls: usize,
-    /// Calls started in one turn of the loop, before answers have their turn again.
+    /// Calls started in one iteration of the event loop, so that answers are not held up.
     pub per_turn: usize,
-    /// Part of a class's aim that may pass before its call is started.
+    /// Part of a class's latency objective that a call may wait for.
     pub share: f64,
-    /// Clients are left unread for so long at most.
+    /// The longest time for which clients are left unread.
     pub hold: Micros,
-    /// Refused calls are told to come back after this at the earliest...
+    /// The shortest retry time of a rejected call.
     pub return_after: Micros,
-    /// ... and after this at the latest.
+    /// The longest retry time of a rejected call.
     pub most_return: Micros,
 }
 
@@ -49,93 +51,96 @@
     }
 }
 
-/// What a class says of itself.
+/// What the priority of a class depends on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Terms {
-    /// Full worth within it.
+    /// Latency objective: an answer within it has its full worth.
     pub aim: Micros,
     /// Worth of an answer.
     pub worth: f64,
 }
 
-/// A call that is not taken; it provably never ran.
+/// A rejected call. No part of it has run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Refused<T> {
-    /// What was offered.
+    /// The call that was offered.
     pub call: T,
-    /// Why, in a word.
+    /// The reason, as a key for clients.
     pub reason: &'static str,
-    /// When it may come back.
+    /// Time after which the client may retry.
     pub retry_after: Micros,
 }
 
-/// What becomes of a call that is offered.
+/// Result of offering a call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict<T> {
-    /// It waits for its turn.
+    /// It is queued.
     Waits,
-    /// It, or one of less worth in its stead, is refused.
+    /// A call is rejected: this one, or a queued call of a less urgent class, whose place it takes.
     Refused(Refused<T>),
-    /// Its name is one that waits already.
+    /// A call with the same key is queued already.
     Twice(T),
 }
 
-/// Who expects the answer: a connection and a number on it.
-pub type Name = (u64, u64);
+/// Key of a call: its connection, and its number on that connection.
+pub type CallKey = (u64, u64);
 
 struct Waiting<T> {
-    name: Name,
-    /// Tells it from another of the same name, if this one was called off.
+    key: CallKey,
+    /// Tells this call from a later one with the same key, if this one was canceled.
     serial: u64,
-    came: Micros,
+    arrived: Micros,
     call: T,
 }
 
-/// A class's calls; tenants take turns.
-struct Lane<T> {
+/// The queued calls of a class; tenants are served round-robin.
+struct ClassQueue<T> {
     class: usize,
-    limit: Micros,
+    max_wait: Micros,
     len: usize,
     by_tenant: BTreeMap<Option<usize>, VecDeque<Waiting<T>>>,
-    turns: VecDeque<Option<usize>>,
+    /// Tenants with queued calls, next first.
+    round_robin: VecDeque<Option<usize>>,
 }
 
-impl<T> Lane<T> {
+impl<T> ClassQueue<T> {
     fn push(&mut self, tenant: Option<usize>, waiting: Waiting<T>) {
         let queue = self.by_tenant.entry(tenant).or_default();
         if queue.is_empty() {
-            self.turns.push_back(tenant);
+            self.round_robin.push_back(tenant);
         }
         queue.push_back(waiting);
         self.len += 1;
     }
 
     fn pop(&mut self) -> Option<Waiting<T>> {
-        let tenant = self.turns.pop_front()?;
+        let tenant = self.round_robin.pop_front()?;
         let queue = self.by_tenant.get_mut(&tenant)?;
         let waiting = queue.pop_front();
         if queue.is_empty() {
             self.by_tenant.remove(&tenant);
         } else {
-            self.turns.push_back(tenant);
+            self.round_robin.push_back(tenant);
         }
         self.len -= 1;
         waiting
     }
 
-    /// The newest call of the tenant with the most of them.
+    /// The newest call of the tenant that has the most calls queued.
     fn pop_newest(&mut self) -> Option<Waiting<T>> {
         let tenant = *self.by_tenant.iter().max_by_key(|(_, queue)| queue.len())?.0;
         self.pop_of(tenant, VecDeque::pop_back)
     }
 
-    fn pop_over(&mut self, now: Micros) -> Option<Waiting<T>> {
-        let over = |queue: &VecDeque<Waiting<T>>| queue.front().is_some_and(|w| w.came + self.limit < now);
-        let tenant = *self.by_tenant.iter().find(|(_, queue)| over(queue))?.0;
+    /// A call that has waited for longer than `max_wait`.
+    fn pop_overdue(&mut self, now: Micros) -> Option<Waiting<T>> {
+        let is_overdue =
+            |queue: &VecDeque<Waiting<T>>| queue.front().is_some_and(|w| w.arrived + self.max_wait < now);
+        let tenant = *self.by_tenant.iter().find(|(_, queue)| is_overdue(queue))?.0;
         self.pop_of(tenant, VecDeque::pop_front)
     }
 
-    /// A call of this tenant, out of its turn.
+    /// A call of this tenant, independent of the round-robin order.
     fn pop_of(
         &mut self,
         tenant: Option<usize>,
@@ -145,240 +150,255 @@
         let waiting = pop(queue)?;
         if queue.is_empty() {
             self.by_tenant.remove(&tenant);
-            self.turns.retain(|other| *other != tenant);
+            self.round_robin.retain(|other| *other != tenant);
         }
         self.len -= 1;
         Some(waiting)
     }
 }
 
-/// Calls started a second is taken from stretches of this many at least.
-const MEASURE: f64 = 64.0;
-/// Before anything was measured: a modest machine's rate. Nothing is refused on its word.
-const FIRST_RATE: f64 = 5_000.0;
-/// Calls that come are read and refused from the same core: when they stop, the rest goes faster. So a refusal
-/// before its time wants better evidence than a forecast.
-const DOUBT: f64 = 2.0;
-/// How fast what was measured is forgotten: at each call that was started.
-const FORGET: f64 = 1.0 - 1.0 / 2_000.0;
-
-/// Calls that wait for their turn.
+/// Started calls that a measured start rate needs at least.
+const MIN_STARTED: f64 = 64.0;
+/// Calls per second assumed before the rate is measured; no call is rejected on account of it.
+const INITIAL_RATE: f64 = 5_000.0;
+/// Factor on the measured rate for rejecting a call as it arrives. Reading and rejecting calls takes time of
+/// the same core, so starting gets faster as arrivals stop, and the forecast is too pessimistic.
+const FORECAST_FACTOR: f64 = 2.0;
+/// Decay of the measurement with each started call.
+const DECAY: f64 = 1.0 - 1.0 / 2_000.0;
+
+/// Queue of calls that wait to be started.
 pub struct Intake<T> {
     limits: IntakeLimits,
-    /// By urgency; `order` has the lane of each class.
-    lanes: Vec<Lane<T>>,
-    order: Vec<usize>,
-    waiting: BTreeMap<Name, u64>,
-    serial: u64,
+    /// Most urgent first.
+    queues: Vec<ClassQueue<T>>,
+    /// Index in `queues` by class.
+    queue_of_class: Vec<usize>,
+    /// Serials of the queued calls that are not canceled.
+    waiting: BTreeMap<CallKey, u64>,
+    last_serial: u64,
+    /// Includes canceled calls that are still in `queues`.
     len: usize,
-    /// Calls started while others waited, and the time it took.
+    /// Calls started while others waited, decayed.
     started: f64,
-    took: f64,
-    looked: Option<Micros>,
-    /// How long the call that was offered last had been on this machine.
-    lag: Micros,
-    returns: Micros,
+    /// The time in which they were started, decayed.
+    start_time: f64,
+    measured_at: Option<Micros>,
+    /// Time between the arrival of the last offered call on this machine and its offer.
+    read_lag: Micros,
+    /// The retry time given last.
+    last_retry_at: Micros,
 }
 
 impl<T> Intake<T> {
-    /// An empty intake for these classes.
+    /// An empty queue for these classes.
     pub fn new(classes: &[Terms], limits: IntakeLimits) -> Self {
         let mut by_urgency: Vec<usize> = (0..classes.len()).collect();
         by_urgency.sort_by(|a, b| {
             let (a, b) = (&classes[*a], &classes[*b]);
             a.aim.cmp(&b.aim).then(b.worth.total_cmp(&a.worth))
         });
-        let mut order = vec![0; classes.len()];
-        by_urgency.iter().enumerate().for_each(|(lane, class)| order[*class] = lane);
-        let lane = |class: &usize| Lane {
+        let mut queue_of_class = vec![0; classes.len()];
+        by_urgency.iter().enumerate().for_each(|(queue, class)| queue_of_class[*class] = queue);
+        let queue = |class: &usize| ClassQueue {
             class: *class,
-            limit: (classes[*class].aim as f64 * limits.share) as Micros,
+            max_wait: (classes[*class].aim as f64 * limits.share) as Micros,
             len: 0,
             by_tenant: BTreeMap::new(),
-            turns: VecDeque::new(),
+            round_robin: VecDeque::new(),
         };
         Self {
-            lanes: by_urgency.iter().map(lane).collect(),
-            order,
+            queues: by_urgency.iter().map(queue).collect(),
+            queue_of_class,
             limits,
             waiting: BTreeMap::new(),
-            serial: 0,
+            last_serial: 0,
             len: 0,
             started: 0.0,
-            took: 0.0,
-            looked: None,
-            lag: 0,
-            returns: 0,
+            start_time: 0.0,
+            measured_at: None,
+            read_lag: 0,
+            last_retry_at: 0,
         }
     }
 
-    /// Changes the bounds; calls that wait keep the time they were given.
+    /// Sets new limits, also for calls that wait. The order of the classes stays as it was.
     pub fn change(&mut self, classes: &[Terms], limits: IntakeLimits) {
         self.limits = limits;
-        for lane in &mut self.lanes {
-            lane.limit = (classes[lane.class].aim as f64 * limits.share) as Micros;
+        for queue in &mut self.queues {
+            queue.max_wait = (classes[queue.class].aim as f64 * limits.share) as Micros;
         }
     }
 
-    /// Calls that wait.
+    /// Number of queued calls.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether none waits.
+    /// Whether no calls are queued.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Whether no more should be read from clients for now: as many wait as can be started in time. Calls that
-    /// were left unread for long are read whatever waits, so that they are answered while their clients wait.
+    /// Whether reading from clients should pause: more calls are queued than can be started in time. Calls
+    /// that were left unread for `hold` are read in any case, so that they are answered while their clients
+    /// still wait.
     pub fn is_full(&self) -> bool {
-        self.len >= self.limits.calls || (self.lag < self.limits.hold && self.len > self.fitting())
+        self.len >= self.limits.calls
+            || (self.read_lag < self.limits.hold && self.len > self.startable_in_time())
     }
 
-    /// Whether clients may be read again after it was full.
+    /// Whether reading from clients may resume after the queue was full.
     pub fn has_room(&self) -> bool {
-        self.len <= self.limits.calls / 2 && (self.lag >= self.limits.hold || self.len <= self.fitting() / 2)
+        self.len <= self.limits.calls / 2
+            && (self.read_lag >= self.limits.hold || self.len <= self.startable_in_time() / 2)
     }
 
-    /// Calls that can be started within the shortest wait.
-    fn fitting(&self) -> usize {
+    /// Calls that can be started within the `max_wait` of the most urgent class.
+    fn startable_in_time(&self) -> usize {
         if !self.is_measured() {
             return self.limits.calls;
         }
-        let shortest = self.lanes.first().map_or(0, |lane| lane.limit);
+        let shortest = self.queues.first().map_or(0, |queue| queue.max_wait);
         ((self.rate() * shortest as f64 / 1e6) as usize).max(self.limits.per_turn * 2)
     }
 
     fn is_measured(&self) -> bool {
-        self.started >= MEASURE && self.took > 0.0
+        self.started >= MIN_STARTED && self.start_time > 0.0
     }
 
-    /// Calls a second that can be started, as far as is known.
+    /// Calls per second that can be started, as measured lately.
     pub fn rate(&self) -> f64 {
         if !self.is_measured() {
-            return FIRST_RATE;
+            return INITIAL_RATE;
         }
-        (self.started / self.took * 1e6).max(1.0)
+        (self.started / self.start_time * 1e6).max(1.0)
     }
 
-    /// A call of this class and tenant came to the machine at `came`, or not before.
+    /// Offers a call, which arrived on this machine at `arrived` or later.
     pub fn offer(
         &mut self,
         now: Micros,
-        name: Name,
+        key: CallKey,
         class: usize,
         tenant: Option<usize>,
-        came: Micros,
+        arrived: Micros,
         call: T,
     ) -> Verdict<T> {
-        if self.waiting.contains_key(&name) {
+        if self.waiting.contains_key(&key) {
             return Verdict::Twice(call);
         }
-        let lane = self.order[class];
-        let ahead: usize = self.lanes[..=lane].iter().map(|lane| lane.len).sum();
-        let wait = match self.is_measured() {
-            true => (ahead as f64 / (self.rate() * DOUBT) * 1e6) as Micros,
+        let queue = self.queue_of_class[class];
+        let ahead: usize = self.queues[..=queue].iter().map(|queue| queue.len).sum();
+        let expected_wait = match self.is_measured() {
+            true => (ahead as f64 / (self.rate() * FORECAST_FACTOR) * 1e6) as Micros,
             false => 0,
         };
-        let has_waited = now.saturating_sub(came);
-        self.lag = has_waited;
-        if has_waited + wait > self.lanes[lane].limit && ahead >= self.limits.per_turn {
+        let has_waited = now.saturating_sub(arrived);
+        self.read_lag = has_waited;
+        if has_waited + expected_wait > self.queues[queue].max_wait && ahead >= self.limits.per_turn {
             return Verdict::Refused(self.refuse(now, call));
         }
         if self.len >= self.limits.calls {
-            // One of the least urgent class gives way, unless that is its own.
-            let last = self.lanes.iter().rposition(|lane| lane.len > 0);
-            let victim = last.filter(|last| *last > lane).and_then(|last| self.lanes[last].pop_newest());
-            let Some(victim) = victim else { return Verdict::Refused(self.refuse(now, call)) };
+            // A call of the least urgent class is rejected: this one, unless its own class is more urgent.
+            let last = self.queues.iter().rposition(|queue| queue.len > 0);
+            let displaced = last.filter(|last| *last > queue).and_then(|last| self.queues[last].pop_newest());
+            let Some(displaced) = displaced else { return Verdict::Refused(self.refuse(now, call)) };
             self.len -= 1;
-            self.put(lane, name, tenant, came, call);
-            if self.is_wanted(&victim) {
-                return Verdict::Refused(self.refuse(now, victim.call));
+            self.enqueue(queue, key, tenant, arrived, call);
+            if self.forget_waiting(&displaced) {
+                return Verdict::Refused(self.refuse(now, displaced.call));
             }
             return Verdict::Waits;
         }
-        self.put(lane, name, tenant, came, call);
+        self.enqueue(queue, key, tenant, arrived, call);
         Verdict::Waits
     }
 
-    fn put(&mut self, lane: usize, name: Name, tenant: Option<usize>, came: Micros, call: T) {
-        self.serial += 1;
-        self.lanes[lane].push(tenant, Waiting { name, serial: self.serial, came, call });
-        self.waiting.insert(name, self.serial);
+    fn enqueue(&mut self, queue: usize, key: CallKey, tenant: Option<usize>, arrived: Micros, call: T) {
+        self.last_serial += 1;
+        self.queues[queue].push(tenant, Waiting { key, serial: self.last_serial, arrived, call });
+        self.waiting.insert(key, self.last_serial);
         self.len += 1;
     }
 
-    /// Takes the name of what leaves its lane off the list; false: it was called off.
-    fn is_wanted(&mut self, leaving: &Waiting<T>) -> bool {
-        let wanted = self.waiting.get(&leaving.name) == Some(&leaving.serial);
-        if wanted {
-            self.waiting.remove(&leaving.name);
+    /// Removes a call that left its queue from `waiting`. False: it was canceled.
+    fn forget_waiting(&mut self, dequeued: &Waiting<T>) -> bool {
+        let is_wanted = self.waiting.get(&dequeued.key) == Some(&dequeued.serial);
+        if is_wanted {
+            self.waiting.remove(&dequeued.key);
         }
-        wanted
+        is_wanted
     }
 
-    /// A turn begins: how long the calls that wait have taken so far is known only here.
+    /// An iteration of the event loop begins. The time since the last one counts for the start rate if calls
+    /// waited.
     pub fn turn(&mut self, now: Micros) {
-        if let Some(before) = self.looked {
-            self.took += now.saturating_sub(before) as f64;
+        if let Some(before) = self.measured_at {
+            self.start_time += now.saturating_sub(before) as f64;
         }
-        self.looked = (self.len > 0).then_some(now);
+        self.measured_at = (self.len > 0).then_some(now);
     }
 
-    /// The next call to start, with the time at which it came. The caller takes `per_turn` at most in a turn.
-    pub fn take(&mut self) -> Option<(Name, Micros, T)> {
+    /// The next call to start, with the time of its arrival. To be called at most `per_turn` times in an
+    /// iteration.
+    pub fn take(&mut self) -> Option<(CallKey, Micros, T)> {
         loop {
-            let lane = self.lanes.iter_mut().find(|lane| lane.len > 0)?;
-            let Some(next) = lane.pop() else { continue };
+            let queue = self.queues.iter_mut().find(|queue| queue.len > 0)?;
+            let Some(next) = queue.pop() else { continue };
             self.len -= 1;
-            if self.is_wanted(&next) {
-                (self.started, self.took) = (self.started * FORGET + 1.0, self.took * FORGET);
-                return Some((next.name, next.came, next.call));
+            if self.forget_waiting(&next) {
+                (self.started, self.start_time) = (self.started * DECAY + 1.0, self.start_time * DECAY);
+                return Some((next.key, next.arrived, next.call));
             }
         }
     }
 
-    /// Calls started in one turn.
+    /// The limit of calls started in one iteration of the event loop.
     pub fn per_turn(&self) -> usize {
         self.limits.per_turn
     }
 
-    /// A call that has waited for longer than its class allows.
+    /// Rejects a call that has waited for longer than its class allows.
     pub fn take_over(&mut self, now: Micros) -> Option<Refused<T>> {
-        for lane in 0..self.lanes.len() {
-            while let Some(over) = self.lanes[lane].pop_over(now) {
+        for queue in 0..self.queues.len() {
+            while let Some(overdue) = self.queues[queue].pop_overdue(now) {
                 self.len -= 1;
-                if self.is_wanted(&over) {
-                    return Some(self.refuse(now, over.call));
+                if self.forget_waiting(&overdue) {
+                    return Some(self.refuse(now, overdue.call));
                 }
             }
         }
         None
     }
 
-    /// A client no longer wants its call. True: it waited here, and will not come out.
-    pub fn call_off(&mut self, name: Name) -> bool {
-        self.waiting.remove(&name).is_some()
+    /// Cancels a call. True: it was queued, and will not be returned any more.
+    pub fn call_off(&mut self, key: CallKey) -> bool {
+        self.waiting.remove(&key).is_some()
     }
 
-    /// A connection is gone with all its calls.
+    /// Cancels all calls of a connection that was closed.
     pub fn left(&mut self, connection: u64) {
-        let of_it = self.waiting.range((connection, 0)..=(connection, u64::MAX));
-        let names: Vec<Name> = of_it.map(|(name, _)| *name).collect();
-        names.iter().for_each(|name| _ = self.waiting.remove(name));
+        let of_connection = self.waiting.range((connection, 0)..=(connection, u64::MAX));
+        let keys: Vec<CallKey> = of_connection.map(|(key, _)| *key).collect();
+        keys.iter().for_each(|key| _ = self.waiting.remove(key));
     }
 
     fn refuse(&mut self, now: Micros, call: T) -> Refused<T> {
-        Refused { call, reason: "busy", retry_after: self.return_time(now) }
+        Refused { call, reason: "busy", retry_after: self.next_retry_after(now) }
     }
 
-    /// A place in the line of those that come back, so that they do not come together.
-    fn return_time(&mut self, now: Micros) -> Micros {
-        let (least, most) = (now + self.limits.return_after, now + self.limits.most_return);
-        let step = (1e6 / (self.rate() * self.limits.share).max(1.0)).ceil() as Micros;
-        // At the end of the line it begins again: places of long ago have emptied, or all come too late anyway.
-        self.returns = if self.returns < least || self.returns > most { least } else { self.returns + step };
-        self.returns.min(most) - now
+    /// Spaces retry times evenly, so that the retries do not arrive together.
+    fn next_retry_after(&mut self, now: Micros) -> Micros {
+        let (earliest, latest) = (now + self.limits.return_after, now + self.limits.most_return);
+        let interval = (1e6 / (self.rate() * self.limits.share).max(1.0)).ceil() as Micros;
+        // After the latest time it starts over: the retries given first have arrived, or the span is too
+        // short anyway.
+        self.last_retry_at = if self.last_retry_at < earliest || self.last_retry_at > latest {
+            earliest
+        } else {
+            self.last_retry_at + interval
+        };
+        self.last_retry_at.min(latest) - now
     }
 }
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,15 +1,15 @@
-//! What a gateway lets in, free of I/O: connections at the [`Door`], calls at the [`Intake`], descriptors in the
-//! [`Budget`].
+//! Admission control of a gateway, free of I/O: connections ([`Door`]), calls ([`Intake`]) and file
+//! descriptors ([`Budget`]).
 //!
-//! - [`Door`] says for each connection whether it may stay: room, shares of addresses and tenants, idle time, messages
-//!   that stay half sent, clients that do not read, pings, leave-taking. An idle connection costs it 32 bytes, and 16
-//!   more from the first half message in its slot on.
-//! - [`Intake`] holds the calls that came faster than they can be started: who goes first, who is refused, with
-//!   a return time of its own.
-//! - [`Spans`] is the one timer structure behind the door; [`Pace`] the one measure of 'so many a second'.
+//! - [`Door`] decides for each connection whether it may stay: connection limit, shares of addresses and
+//!   tenants, idle timeouts, partial messages, clients that do not read, pings, draining. An idle connection
+//!   costs it 32 bytes, and 16 more once its slot has held a partial message.
+//! - [`Intake`] queues calls that arrive faster than they can be started: it orders them, and rejects some
+//!   with a retry time of their own.
+//! - [`TimerQueues`] keeps all timers of connections; [`TokenBucket`] is the only rate limit.
 //!
-//! Time comes in as an argument; same calls, same answers. Nothing here knows a socket, and no decision about
-//! workers is made here: that is the decision module's.
+//! Time is an argument: the same calls give the same results. Nothing here knows sockets, and decisions about
+//! workers are made in the decision module.
 
 mod descriptors;
 mod door;
@@ -20,5 +20,5 @@
 pub use descriptors::{Budget, Parts};
 pub use door::{Act, Arrival, Door, DoorCounts, DoorLimits, Sign};
 pub use intake::{Intake, IntakeLimits, Refused, Terms, Verdict};
-pub use pace::Pace;
-pub use spans::Spans;
+pub use pace::TokenBucket;
+pub use spans::TimerQueues;
--- a/crates/admission/src/spans.rs
+++ b/crates/admission/src/spans.rs
@@ -1,116 +1,116 @@
-//! Timers of connections: queues, one for each reason to wait.
+//! Timers of connections: one queue for each kind of timeout.
 //!
-//! All who wait for the same reason wait equally long, so a queue in the order of coming is in the order of
-//! falling due: the first of each queue is all that a clock has to look at, setting a timer again is taking the
-//! entry out and putting it at the end, and the longest idle stands in front. That costs 16 bytes a slot, no
-//! allocation, and the same few steps whether there are ten or a million. `benches/timers.rs` has it beside a
-//! tree, a heap and a wheel.
+//! All entries of a queue have the same timeout, so the order of insertion is the order of expiry: only the
+//! first entry of each queue has to be checked, a timer is restarted by moving its entry to the end, and the
+//! longest idle connection is first. This costs 16 bytes a slot, allocates nothing per operation, and takes
+//! the same few steps for ten entries or a million. `benches/timers.rs` compares it with a tree, a heap and a
+//! timer wheel.
 
 use cresswheel_protocol::Micros;
 
-/// Times are kept in steps of this: far finer than any span, and 32 bits of it last two years of running.
-const STEP: Micros = 16_384;
+/// Resolution of stored times: far finer than any timeout, and 32 bits of ticks last for two years.
+const TICK: Micros = 16_384;
 const NONE: u32 = u32::MAX;
-const OUT: u8 = u8::MAX;
+const NO_QUEUE: u8 = u8::MAX;
 
 #[derive(Clone, Copy, Debug)]
 struct Link {
-    before: u32,
-    after: u32,
-    /// Steps since the start at which it was put there.
+    prev: u32,
+    next: u32,
+    /// Ticks since the start at which the slot was inserted.
     since: u32,
     queue: u8,
 }
 
-const NOWHERE: Link = Link { before: NONE, after: NONE, since: 0, queue: OUT };
+const UNLINKED: Link = Link { prev: NONE, next: NONE, since: 0, queue: NO_QUEUE };
 
 #[derive(Clone, Copy, Debug)]
 struct Queue {
-    span: Micros,
+    timeout: Micros,
     first: u32,
     last: u32,
     len: usize,
 }
 
-/// Slots in queues, each slot in one at most.
+/// Slots in queues; each slot is in one queue at most.
 #[derive(Clone, Debug)]
-pub struct Spans {
+pub struct TimerQueues {
     start: Micros,
     queues: Vec<Queue>,
     links: Vec<Link>,
 }
 
-impl Spans {
-    /// Queues with these spans, all empty.
+impl TimerQueues {
+    /// Empty queues with these timeouts.
     ///
     /// # Panics
     /// If there are more than 255.
-    pub fn new(now: Micros, spans: &[Micros]) -> Self {
-        assert!(spans.len() < usize::from(OUT), "a queue's number is a byte");
-        let queue = |span: &Micros| Queue { span: *span, first: NONE, last: NONE, len: 0 };
-        Self { start: now, queues: spans.iter().map(queue).collect(), links: Vec::new() }
+    pub fn new(now: Micros, timeouts: &[Micros]) -> Self {
+        assert!(timeouts.len() < usize::from(NO_QUEUE), "the number of a queue is one byte");
+        let queue = |timeout: &Micros| Queue { timeout: *timeout, first: NONE, last: NONE, len: 0 };
+        Self { start: now, queues: timeouts.iter().map(queue).collect(), links: Vec::new() }
     }
 
-    /// Changes a queue's span, for those in it too.
-    pub fn change(&mut self, queue: usize, span: Micros) {
-        self.queues[queue].span = span;
+    /// Changes the timeout of a queue, also for entries already in it.
+    pub fn set_timeout(&mut self, queue: usize, timeout: Micros) {
+        self.queues[queue].timeout = timeout;
     }
 
-    fn steps(&self, now: Micros) -> u32 {
-        u32::try_from(now.saturating_sub(self.start) / STEP).unwrap_or(u32::MAX)
+    fn ticks(&self, now: Micros) -> u32 {
+        u32::try_from(now.saturating_sub(self.start) / TICK).unwrap_or(u32::MAX)
     }
 
-    fn time(&self, steps: u32) -> Micros {
-        self.start + Micros::from(steps) * STEP
+    fn time(&self, ticks: u32) -> Micros {
+        self.start + Micros::from(ticks) * TICK
     }
 
-    /// Puts a slot at the end of a queue, wherever it was.
-    pub fn put(&mut self, now: Micros, slot: usize, queue: usize) {
+    /// Moves a slot to the end of a queue, from whatever queue it was in.
+    pub fn insert(&mut self, now: Micros, slot: usize, queue: usize) {
         if slot >= self.links.len() {
-            self.links.resize(slot + 1, NOWHERE);
+            self.links.resize(slot + 1, UNLINKED);
         }
-        self.take_out(slot);
-        // A clock that went back must not put it before those already there.
+        self.remove(slot);
+        // If the clock went back, the queue must still be in order of time.
         let last = self.queues[queue].last;
-        let least = if last == NONE { 0 } else { self.links[last as usize].since };
-        let since = self.steps(now).max(least);
-        self.links[slot] = Link { before: last, after: NONE, since, queue: queue as u8 };
+        let earliest = if last == NONE { 0 } else { self.links[last as usize].since };
+        let since = self.ticks(now).max(earliest);
+        self.links[slot] = Link { prev: last, next: NONE, since, queue: queue as u8 };
         let queue = &mut self.queues[queue];
         queue.last = slot as u32;
         queue.len += 1;
         match last {
             NONE => queue.first = slot as u32,
-            last => self.links[last as usize].after = slot as u32,
+            last => self.links[last as usize].next = slot as u32,
         }
     }
 
-    /// Takes a slot out of its queue, if it is in one.
-    pub fn take_out(&mut self, slot: usize) {
-        let Some(link) = self.links.get(slot).copied().filter(|link| link.queue != OUT) else { return };
-        self.links[slot] = NOWHERE;
+    /// Removes a slot from its queue, if it is in one.
+    pub fn remove(&mut self, slot: usize) {
+        let Some(link) = self.links.get(slot).copied().filter(|link| link.queue != NO_QUEUE) else { return };
+        self.links[slot] = UNLINKED;
         let queue = &mut self.queues[usize::from(link.queue)];
         queue.len -= 1;
-        match link.before {
-            NONE => queue.first = link.after,
-            before => self.links[before as usize].after = link.after,
+        match link.prev {
+            NONE => queue.first = link.next,
+            prev => self.links[prev as usize].next = link.next,
         }
-        match link.after {
-            NONE => queue.last = link.before,
-            after => self.links[after as usize].before = link.before,
+        match link.next {
+            NONE => queue.last = link.prev,
+            next => self.links[next as usize].prev = link.prev,
         }
     }
 
     /// The queue that a slot is in.
-    pub fn queue(&self, slot: usize) -> Option<usize> {
-        self.links.get(slot).filter(|link| link.queue != OUT).map(|link| usize::from(link.queue))
+    pub fn queue_of(&self, slot: usize) -> Option<usize> {
+        self.links.get(slot).filter(|link| link.queue != NO_QUEUE).map(|link| usize::from(link.queue))
     }
 
-    /// Since when a slot is in its queue; up to a step early.
+    /// When a slot was inserted into its queue; up to a tick early.
     pub fn since(&self, slot: usize) -> Option<Micros> {
-        self.links.get(slot).filter(|link| link.queue != OUT).map(|link| self.time(link.since))
+        self.links.get(slot).filter(|link| link.queue != NO_QUEUE).map(|link| self.time(link.since))
     }
 
-    /// How many a queue holds.
+    /// Number of entries in a queue.
     pub fn len(&self, queue: usize) -> usize {
         self.queues[queue].len
     }
@@ -120,22 +120,22 @@
         self.len(queue) == 0
     }
 
-    /// A queue's slots, longest there first.
+    /// The slots of a queue, oldest entry first.
     pub fn slots(&self, queue: usize) -> impl Iterator<Item = usize> + '_ {
         let next = |slot: u32| (slot != NONE).then_some(slot);
         std::iter::successors(next(self.queues[queue].first), move |slot| {
-            next(self.links[*slot as usize].after)
+            next(self.links[*slot as usize].next)
         })
         .map(|slot| slot as usize)
     }
 
-    /// The first of a queue and when it falls due; at most a step late, never early.
+    /// The first entry of a queue and when it expires; up to a tick late, never early.
     pub fn first(&self, queue: usize) -> Option<(usize, Micros)> {
         let first = self.queues[queue].first;
         if first == NONE {
             return None;
         }
         let since = self.time(self.links[first as usize].since);
-        Some((first as usize, since.saturating_add(STEP).saturating_add(self.queues[queue].span)))
+        Some((first as usize, since.saturating_add(TICK).saturating_add(self.queues[queue].timeout)))
     }
 }
