--- a/crates/clients/src/lib.rs
+++ b/crates/clients/src/lib.rs
@@ -1,14 +1,14 @@
-//! The clients' side of a gateway: connections on both wires, from bytes to what is asked and from answers to
-//! bytes. The same code runs inside the gateway's process, and in *holders*, processes that only hold connections,
-//! where one process can't have enough descriptors.
+//! Client connections of a gateway, on both protocols: parses received bytes into requests, and writes
+//! answers. The same code runs in the gateway's process and in *acceptor processes*, which only hold client
+//! connections, for when one process can't have enough descriptors.
 //!
-//! [`Clients`] takes a hub's notices and gives [`Ask`]s; it takes replies, each a message for one connection. Who
-//! may connect and who is closed is [`cresswheel_admission::Door`]'s to say. What is asked, and what the answer is,
-//! is the gateway's.
+//! [`Clients`] takes the notices of an event loop and returns [`Ask`]s; it is given replies, each a message
+//! for one connection. [`cresswheel_admission::Door`] decides which connections are accepted and which are
+//! closed. Requests are handled, and answers made, by the gateway.
 //!
-//! A holder speaks the main protocol with its gateway over a socket pair, the *trunk*: `Of` names a connection,
-//! the message after it is that client's, or for that client. It dies with the gateway, and takes with it, if it
-//! dies alone, nothing but the connections that it held.
+//! An acceptor process speaks the main protocol with its gateway over a socket pair, the *trunk*: `Of` names
+//! a connection, and the next message is from that client or for it. The process exits when the gateway does;
+//! if it dies alone, only the connections that it held are lost.
 
 mod clients;
 mod closing;
--- a/crates/clients/src/owed.rs
+++ b/crates/clients/src/owed.rs
@@ -1,85 +1,92 @@
-//! What one connection of a client is owed: the numbers that are open, responses in their order, and what was read
-//! ahead of a client that does not read its answers.
+//! Outstanding work of one client connection: numbers of open requests, responses in order, and requests read
+//! ahead from a client that does not read its answers.
 
 use std::collections::{BTreeSet, VecDeque};
 
 use cresswheel_protocol::{Message, Micros};
 
-/// Kept while something is under way on a connection; an idle one has none.
+/// Exists only while a connection has outstanding work; an idle one has none, to save memory.
 #[derive(Default)]
-pub struct Owed {
-    /// Numbers of calls, awaits and pages without their answer.
-    pub open: BTreeSet<u64>,
+pub struct Outstanding {
+    /// Numbers of the requests without their answer.
+    pub open_requests: BTreeSet<u64>,
     /// HTTP: the number of the next request.
-    pub next: u64,
-    /// HTTP: responses leave in the order of their requests.
-    pub slots: VecDeque<Slot>,
-    /// It does not read.
+    pub next_number: u64,
+    /// HTTP: responses, which are sent in the order of their requests.
+    pub responses: VecDeque<PendingResponse>,
+    /// Set while the client does not read.
     pub stalled: Option<Stalled>,
-    /// Once nothing is open it is told this, and closed.
-    pub ending: Option<&'static str>,
+    /// Set if the connection is to be closed, for this reason, once no request is open.
+    pub close_reason: Option<&'static str>,
 }
 
-impl Owed {
-    pub fn is_settled(&self) -> bool {
-        self.open.is_empty() && self.slots.is_empty() && self.stalled.is_none() && self.ending.is_none()
+impl Outstanding {
+    pub fn is_empty(&self) -> bool {
+        self.open_requests.is_empty()
+            && self.responses.is_empty()
+            && self.stalled.is_none()
+            && self.close_reason.is_none()
     }
 }
 
-/// A request's place among the responses.
-pub struct Slot {
+/// The response to a request, or its place while there is none.
+pub struct PendingResponse {
     pub number: u64,
-    pub fetched: bool,
+    /// The request fetches the result of an earlier call.
+    pub is_fetch: bool,
     pub keep_alive: bool,
-    pub response: Option<Vec<u8>>,
+    pub bytes: Option<Vec<u8>>,
 }
 
 /// A client that does not read its answers.
 pub struct Stalled {
-    /// Bytes that waited for it when that was looked at last.
+    /// Bytes of output that waited when the timeout last started.
     pub backlog: usize,
-    pub unread: Unread,
+    pub read_ahead: ReadAhead,
 }
 
-/// What a client of the main protocol asked that does not read: it is read ahead for the cancels among it.
-pub struct Unread {
+/// Requests received on the main protocol from a client that does not read. They are read ahead because there
+/// may be cancels among them.
+pub struct ReadAhead {
     messages: VecDeque<(Micros, Message)>,
     bytes: usize,
-    most_messages: usize,
-    most_bytes: usize,
+    max_messages: usize,
+    max_bytes: usize,
 }
 
-impl Unread {
-    pub fn new(most_messages: usize, most_bytes: usize) -> Self {
-        Self { messages: VecDeque::new(), bytes: 0, most_messages, most_bytes }
+impl ReadAhead {
+    pub fn new(max_messages: usize, max_bytes: usize) -> Self {
+        Self { messages: VecDeque::new(), bytes: 0, max_messages, max_bytes }
     }
 
-    /// Keeps a message; true: no more should be read.
-    pub fn push(&mut self, came: Micros, message: Message) -> bool {
+    /// Adds a message. True: reading should pause.
+    pub fn push(&mut self, arrived: Micros, message: Message) -> bool {
         self.bytes += size(&message);
-        self.messages.push_back((came, message));
-        self.messages.len() >= self.most_messages || self.bytes >= self.most_bytes
+        self.messages.push_back((arrived, message));
+        self.messages.len() >= self.max_messages || self.bytes >= self.max_bytes
     }
 
-    /// The message that came first.
+    /// The oldest message.
     pub fn pop(&mut self) -> Option<(Micros, Message)> {
-        let (came, message) = self.messages.pop_front()?;
+        let (arrived, message) = self.messages.pop_front()?;
         self.bytes -= size(&message);
-        Some((came, message))
+        Some((arrived, message))
     }
 
-    /// Takes out what was asked under this number; false: nothing was.
+    /// Removes the request with this number. False: there is none.
     pub fn cancel(&mut self, number: u64) -> bool {
-        let place = self.messages.iter().position(|(_, message)| asked_number(message) == Some(number));
-        let Some((_, message)) = place.and_then(|place| self.messages.remove(place)) else { return false };
+        let position = self.messages.iter().position(|(_, message)| asked_number(message) == Some(number));
+        let Some((_, message)) = position.and_then(|position| self.messages.remove(position)) else {
+            return false;
+        };
         self.bytes -= size(&message);
         true
     }
 }
 
-/// What a message holds, about.
+/// Approximate memory of a message.
 fn size(message: &Message) -> usize {
-    let held = match message {
+    let text = match message {
         Message::Call { function, class, tenant, key, trace, body, account, .. } => {
             let account = account.as_ref().map_or(0, String::len);
             function.len() + class.len() + tenant.len() + key.len() + trace.len() + body.len() + account
@@ -88,10 +95,10 @@
         Message::Versions { key, json, .. } => key.len() + json.len(),
         _ => 0,
     };
-    held + std::mem::size_of::<Message>()
+    text + std::mem::size_of::<Message>()
 }
 
-/// The number under which something was asked.
+/// The number of a request; `None` for a message that is no request.
 pub fn asked_number(message: &Message) -> Option<u64> {
     match message {
         Message::Call { number, .. }
@@ -102,7 +109,7 @@
     }
 }
 
-/// The number that a message answers.
+/// The number of the request that a message answers.
 pub fn answered_number(message: &Message) -> Option<u64> {
     match message {
         Message::Accepted { number, .. }
--- a/crates/clients/src/terms.rs
+++ b/crates/clients/src/terms.rs
@@ -1,28 +1,29 @@
-//! What the clients' side is told.
+//! Limits of client connections.
 
 use cresswheel_admission::DoorLimits;
 use cresswheel_protocol::{Limits, http};
 use cresswheel_transport::HubLimits;
 use serde::{Deserialize, Serialize};
 
-/// Bounds of the clients' side, wherever it runs.
+/// Limits of client connections, in whichever process they are held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClientTerms {
-    /// Of connections.
+    /// Limits and timeouts of connections.
     pub door: DoorLimits,
-    /// Bytes waiting for a client from which on no more is read from it.
+    /// Backlog of output, in bytes, above which a client counts as not reading, and no more of its requests
+    /// are handled.
     pub backlog: usize,
-    /// Calls and awaits of one connection without their answer.
+    /// Open calls and awaits of one connection.
     pub per_connection: usize,
-    /// Longest frame, in bytes.
+    /// Maximum length of a frame, in bytes.
     pub frame: usize,
-    /// Longest head of an HTTP request, in bytes.
+    /// Maximum length of the head of an HTTP request, in bytes.
     pub http_head: usize,
-    /// Most header lines of one.
+    /// Maximum number of headers of an HTTP request.
     pub http_headers: usize,
-    /// Longest body of one, in bytes.
+    /// Maximum length of the body of an HTTP request, in bytes.
     pub http_body: usize,
-    /// Bytes that may wait to be written on one connection before it is closed.
+    /// Backlog of output, in bytes, above which a connection is closed.
     pub out: usize,
 }
 
@@ -43,13 +44,13 @@
 }
 
 impl ClientTerms {
-    /// The bounds of sockets among them.
+    /// The limits that the event loop enforces.
     pub fn hub(&self) -> HubLimits {
         HubLimits {
             frame: Limits { frame: self.frame },
             http: http::Limits { head: self.http_head, headers: self.http_headers, body: self.http_body },
             out: self.out,
-            // The door counts.
+            // Connections are limited by `door`.
             accepted: usize::MAX,
         }
     }
--- a/crates/clients/src/trunk.rs
+++ b/crates/clients/src/trunk.rs
@@ -1,4 +1,4 @@
-//! The holder's process, and the socket pair between it and its gateway.
+//! The acceptor process, and the socket pair between it and its gateway (the trunk).
 
 use std::io::{self, IoSlice, IoSliceMut};
 use std::mem::MaybeUninit;
@@ -17,37 +17,38 @@
 
 use crate::{ClientTerms, Clients};
 
-/// The first thing that a holder is told, and again when it changes.
+/// Configuration of an acceptor process: its first message from the gateway, sent again after each change.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Told {
-    /// The gateway's clock.
+    /// Base of the gateway's clock.
     pub clock: Micros,
-    /// The clients' side.
+    /// Limits of client connections.
     pub terms: ClientTerms,
-    /// The second listener speaks HTTP.
+    /// Whether the second listener is for HTTP.
     pub http: bool,
-    /// Another holder has places.
+    /// Whether another acceptor process is below its connection limit.
     pub room_elsewhere: bool,
-    /// All calls are answered: connections are ended as what waits for them has left, and then the holder ends.
+    /// All calls are answered: each connection is closed once its output is sent, and then the process exits.
     pub finish: bool,
 }
 
-/// Most listeners that are handed over.
-const LISTENERS: usize = 2;
-/// Bytes waiting on the trunk from which on clients are left waiting, and below which they are read again.
-const TRUNK_FULL: usize = 256 << 10;
-const TRUNK_ROOM: usize = 64 << 10;
-/// After the gateway's end, how long answers may take to leave.
-const LEAVE_WITHIN: Micros = 500_000;
-/// How often it is looked what has left, once all is answered.
-const FLUSH_LOOK: Micros = 5_000;
-/// How often counts are sent, if they changed.
-const COUNT_EVERY: Micros = 1_000_000;
+/// Maximum number of listeners that are handed over.
+const MAX_LISTENERS: usize = 2;
+/// Backlog of the trunk, in bytes, above which reading from clients pauses.
+const TRUNK_PAUSE: usize = 256 << 10;
+/// Backlog of the trunk, in bytes, below which reading resumes.
+const TRUNK_RESUME: usize = 64 << 10;
+/// After the gateway's exit, how long answers may take to be sent.
+const EXIT_WITHIN: Micros = 500_000;
+/// Interval of checks whether output is sent, once all calls are answered.
+const FLUSH_CHECK_INTERVAL: Micros = 5_000;
+/// Interval at which counts are sent, if they changed.
+const COUNTS_INTERVAL: Micros = 1_000_000;
 
-/// Hands listeners to the process at the other end.
+/// Sends listeners to the process at the other end.
 pub fn hand_over(trunk: &UnixStream, listeners: &[impl AsFd]) -> io::Result<()> {
     let sockets: Vec<_> = listeners.iter().map(AsFd::as_fd).collect();
-    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(LISTENERS))];
+    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_LISTENERS))];
     let mut control = SendAncillaryBuffer::new(&mut space);
     if !control.push(SendAncillaryMessage::ScmRights(&sockets)) {
         return Err(io::Error::other("too many listeners to hand over"));
@@ -56,15 +57,15 @@
     Ok(())
 }
 
-/// Takes the listeners that the other end hands over.
+/// Receives the listeners that the other end sends.
 pub fn take_over(trunk: &impl AsFd) -> io::Result<Vec<OwnedFd>> {
-    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(LISTENERS))];
+    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_LISTENERS))];
     let mut control = RecvAncillaryBuffer::new(&mut space);
     let mut byte = [0];
     let flags = RecvFlags::CMSG_CLOEXEC;
-    let got = rustix::net::recvmsg(trunk, &mut [IoSliceMut::new(&mut byte)], &mut control, flags)?;
-    if got.bytes != 1 || byte != *b"L" {
-        return Err(io::Error::other("this is no trunk of a gateway"));
+    let received = rustix::net::recvmsg(trunk, &mut [IoSliceMut::new(&mut byte)], &mut control, flags)?;
+    if received.bytes != 1 || byte != *b"L" {
+        return Err(io::Error::other("expected listeners from a gateway"));
     }
     let sockets = control.drain().filter_map(|message| match message {
         RecvAncillaryMessage::ScmRights(sockets) => Some(sockets),
@@ -73,75 +74,90 @@
     Ok(sockets.flatten().collect())
 }
 
-/// Runs a holder until its gateway ends. The trunk is its standard input.
+/// Runs an acceptor process until its gateway exits. The trunk is its standard input.
 pub fn hold() -> anyhow::Result<()> {
     let trunk = io::stdin().as_fd().try_clone_to_owned()?;
-    let listeners = take_over(&trunk).context("standard input is not a gateway's trunk")?;
-    anyhow::ensure!(!listeners.is_empty() && listeners.len() <= LISTENERS, "no listener was handed over");
-    // Until the gateway has told its clock and terms, nothing is accepted.
+    let listeners = take_over(&trunk).context("standard input is not a socket of a gateway")?;
+    anyhow::ensure!(
+        !listeners.is_empty() && listeners.len() <= MAX_LISTENERS,
+        "expected one or two listeners from the gateway"
+    );
+    // Nothing is accepted before the gateway has sent its clock and limits.
     let mut hub = Hub::new(ClientTerms::default().hub())?;
     let trunk = hub.adopt(trunk, Wire::Frames)?;
-    let told = loop {
+    let config = loop {
         hub.wait(None)?;
         match hub.take_notice() {
             Some(Notice::Message(_, Message::Terms { json })) => {
                 break serde_json::from_slice::<Told>(&json)?;
             }
-            Some(Notice::Closed { why, .. }) => anyhow::bail!("the gateway is gone: {why}"),
+            Some(Notice::Closed { why, .. }) => anyhow::bail!("the gateway closed the connection: {why}"),
             _ => {}
         }
     };
-    hub.set_clock(Clock::of(told.clock));
-    hub.set_limits(told.terms.hub());
-    // What ends the gateway ends this process, by the trunk; a terminal's signals go to both.
+    hub.set_clock(Clock::of(config.clock));
+    hub.set_limits(config.terms.hub());
+    // This process exits when its gateway does, which it sees at the trunk. It ignores signals because a
+    // terminal sends them to both processes.
     hub.signals(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP])?;
-    let mut numbers = Vec::new();
+    let mut listener_ids = Vec::new();
     for (listener, wire) in listeners.into_iter().zip([Wire::Frames, Wire::Http]) {
-        numbers.push(hub.adopt_listener(listener, wire)?);
+        listener_ids.push(hub.adopt_listener(listener, wire)?);
     }
-    let http = numbers.get(1).copied().filter(|_| told.http);
-    let mut clients = Clients::new(&mut hub, told.terms, http);
-    clients.room_elsewhere(told.room_elsewhere);
-    let counted = (0, Vec::new());
-    Holder { hub, clients, trunk, of: None, counted, ends: None, asking: false, finishing: false }.run()
+    let http = listener_ids.get(1).copied().filter(|_| config.http);
+    let mut clients = Clients::new(&mut hub, config.terms, http);
+    clients.room_elsewhere(config.room_elsewhere);
+    let last_counts = (0, Vec::new());
+    Acceptor {
+        hub,
+        clients,
+        trunk,
+        reply_to: None,
+        last_counts,
+        exit_at: None,
+        draining: false,
+        finishing: false,
+    }
+    .run()
 }
 
-struct Holder {
+struct Acceptor {
     hub: Hub,
     clients: Clients,
     trunk: Connection,
-    /// The next message from the gateway is for this one.
-    of: Option<Connection>,
-    /// When counts were last looked at, and what was sent.
-    counted: (Micros, Vec<u8>),
-    ends: Option<Micros>,
-    /// It ends once no connection is left.
+    /// The connection that the next message from the gateway is for.
+    reply_to: Option<Connection>,
+    /// When counts were last taken (0: they did not change), and what was sent.
+    last_counts: (Micros, Vec<u8>),
+    /// Set once the gateway has exited.
+    exit_at: Option<Micros>,
+    /// The process exits once no connection is left.
     finishing: bool,
-    /// Clients were still being asked to leave at the last look.
-    asking: bool,
+    /// Whether connections were still to be asked to leave when counts were last taken.
+    draining: bool,
 }
 
-impl Holder {
+impl Acceptor {
     fn run(&mut self) -> anyhow::Result<()> {
         loop {
             let now = self.hub.clock().now();
-            if self.ends.is_some_and(|at| at <= now || !self.clients.owes(&self.hub)) {
+            if self.exit_at.is_some_and(|at| at <= now || !self.clients.owes(&self.hub)) {
                 return Ok(());
             }
-            // Whoever is still to be asked to leave hears so first.
+            // Connections that are still to be asked to leave are asked first.
             let may_finish = self.finishing && !self.clients.is_asking();
             if may_finish && self.clients.finish_all(&mut self.hub) && self.hub.backlog(self.trunk) == 0 {
                 return Ok(());
             }
-            // Counts are looked at when something happens, and once more a second after.
-            let count = (self.counted.0 + COUNT_EVERY).max(now);
-            let due = self.clients.next_due(now).into_iter().chain(self.ends.map(|_| now + 1_000));
-            let due = due.chain(self.finishing.then_some(now + FLUSH_LOOK));
-            let due = due.chain((self.counted.0 > 0).then_some(count)).min();
+            // Counts are taken when something happened, and once more a second later.
+            let counts_due = (self.last_counts.0 + COUNTS_INTERVAL).max(now);
+            let due = self.clients.next_due(now).into_iter().chain(self.exit_at.map(|_| now + 1_000));
+            let due = due.chain(self.finishing.then_some(now + FLUSH_CHECK_INTERVAL));
+            let due = due.chain((self.last_counts.0 > 0).then_some(counts_due)).min();
             self.hub.wait(due)?;
             while let Some(notice) = self.hub.take_notice() {
                 if let Some(notice) = self.clients.notice(&mut self.hub, notice) {
-                    self.trunk_notice(notice)?;
+                    self.on_trunk_notice(notice)?;
                 }
             }
             self.clients.tick(&mut self.hub);
@@ -151,59 +167,60 @@
                 self.hub.send(self.trunk, &ask.message, None);
             }
             match self.hub.backlog(self.trunk) {
-                waits if waits > TRUNK_FULL => self.hub.hold_guests(true),
-                waits if waits < TRUNK_ROOM => self.hub.hold_guests(false),
+                backlog if backlog > TRUNK_PAUSE => self.hub.hold_guests(true),
+                backlog if backlog < TRUNK_RESUME => self.hub.hold_guests(false),
                 _ => {}
             }
-            self.count()?;
+            self.send_counts()?;
         }
     }
 
-    fn count(&mut self) -> anyhow::Result<()> {
+    fn send_counts(&mut self) -> anyhow::Result<()> {
         let now = self.hub.clock().now();
-        let asking = self.clients.is_asking();
-        // The gateway waits for the end of this.
-        let news = std::mem::replace(&mut self.asking, asking) != asking;
-        if now < self.counted.0 + COUNT_EVERY && !news {
+        let draining = self.clients.is_asking();
+        // The gateway waits until all connections have been asked to leave, so a change is sent at once.
+        let drain_changed = std::mem::replace(&mut self.draining, draining) != draining;
+        if now < self.last_counts.0 + COUNTS_INTERVAL && !drain_changed {
             return Ok(());
         }
         let json = serde_json::to_vec(&self.clients.counts())?;
-        // At 0 there is nothing to look at until something happens.
-        let same = json == self.counted.1;
-        self.counted = (if same { 0 } else { now }, json);
-        if !same {
-            self.hub.send(self.trunk, &Message::Counts { json: self.counted.1.clone() }, None);
+        // At 0, counts are not taken again until something happens.
+        let unchanged = json == self.last_counts.1;
+        self.last_counts = (if unchanged { 0 } else { now }, json);
+        if !unchanged {
+            self.hub.send(self.trunk, &Message::Counts { json: self.last_counts.1.clone() }, None);
         }
         Ok(())
     }
 
-    fn trunk_notice(&mut self, notice: Notice) -> anyhow::Result<()> {
+    fn on_trunk_notice(&mut self, notice: Notice) -> anyhow::Result<()> {
         let message = match notice {
             Notice::Message(_, message) => message,
             Notice::Closed { why, .. } => {
-                tracing::debug!(%why, "the gateway is gone");
-                // The gateway's next life may want the port at once.
+                tracing::debug!(%why, "the gateway has exited");
+                // A restarted gateway may bind the port at once.
                 self.hub.stop_listening();
-                self.ends = Some(self.hub.clock().now() + LEAVE_WITHIN);
+                self.exit_at = Some(self.hub.clock().now() + EXIT_WITHIN);
                 return Ok(());
             }
             _ => return Ok(()),
         };
         match message {
-            Message::Of { connection, .. } => self.of = Some(connection),
+            Message::Of { connection, .. } => self.reply_to = Some(connection),
             Message::Terms { json } => {
-                let told: Told = serde_json::from_slice(&json)?;
-                self.clients.change(&mut self.hub, told.terms);
-                self.clients.room_elsewhere(told.room_elsewhere);
-                self.finishing |= told.finish;
+                let config: Told = serde_json::from_slice(&json)?;
+                self.clients.change(&mut self.hub, config.terms);
+                self.clients.room_elsewhere(config.room_elsewhere);
+                self.finishing |= config.finish;
             }
             Message::Leave {} => {
                 self.clients.leave(&mut self.hub);
-                // The gateway is to know at once how many are still to be asked.
-                self.counted = (0, Vec::new());
+                // Sends counts at once: the gateway needs to know that connections are still to be asked to
+                // leave.
+                self.last_counts = (0, Vec::new());
             }
             message => {
-                if let Some(connection) = self.of.take() {
+                if let Some(connection) = self.reply_to.take() {
                     self.clients.reply(&mut self.hub, connection, &message);
                 }
             }
