--- a/crates/admission/src/door.rs
+++ b/crates/admission/src/door.rs
@@ -336,7 +336,7 @@
     }
 
     /// Sets new limits. If there are more connections than they allow, the longest idle are asked to leave.
-    pub fn change(&mut self, now: Micros, limits: DoorLimits) {
+    pub fn set_limits(&mut self, now: Micros, limits: DoorLimits) {
         self.limits = limits;
         self.set_timeouts();
         self.accept_rate.set_rate(now, limits.accepts_per_s, accept_burst(&limits));
@@ -347,13 +347,14 @@
         }
     }
 
-    /// Whether another process of the same gateway is below its connection limit: then none is evicted here.
-    pub fn room_elsewhere(&mut self, capacity_elsewhere: bool) {
+    /// Sets whether another process of the same gateway is below its connection limit. Then no connection is
+    /// evicted here.
+    pub fn set_capacity_elsewhere(&mut self, capacity_elsewhere: bool) {
         self.capacity_elsewhere = capacity_elsewhere;
     }
 
     /// Asks all connections to leave, spread over `leave_over`, and each that is accepted from now on.
-    pub fn leave(&mut self, now: Micros) {
+    pub fn drain(&mut self, now: Micros) {
         self.start_drain(now, self.connected, true);
     }
 
@@ -592,12 +593,12 @@
     }
 
     /// A request was refused because its connection had too many open.
-    pub fn refused(&mut self) {
+    pub fn count_refused(&mut self) {
         self.refused_requests += 1;
     }
 
     /// Calls and awaits of a connection without their answer.
-    pub fn open(&self, slot: usize) -> u32 {
+    pub fn open_requests(&self, slot: usize) -> u32 {
         self.connections
             .get(slot)
             .filter(|connection| connection.connected)
@@ -748,7 +749,7 @@
     }
 
     /// Whether some connections are still to be asked to leave.
-    pub fn is_asking(&self) -> bool {
+    pub fn is_draining(&self) -> bool {
         self.drain.as_ref().is_some_and(|drain| drain.remaining > 0)
     }
 
@@ -767,7 +768,7 @@
             arrived: self.arrived,
             pings: self.pings_sent,
             asked: self.asked_to_leave,
-            asking: self.is_asking(),
+            asking: self.is_draining(),
             refused: self.refused_requests,
             closed: self.closed.iter().map(|(reason, count)| ((*reason).to_owned(), *count)).collect(),
         }
--- a/crates/admission/tests/door.rs
+++ b/crates/admission/tests/door.rs
@@ -76,7 +76,7 @@
     let mut limiter = Door::new(0, limits());
     (0..8).for_each(|slot| _ = limiter.arrives(0, slot, client_address(slot as u8), false, |_| true));
     assert!(limiter.may_accept(60 * S).is_ok());
-    limiter.room_elsewhere(true);
+    limiter.set_capacity_elsewhere(true);
     assert_eq!(limiter.may_accept(60 * S), Err(61 * S));
     limiter.left(3);
     assert!(limiter.may_accept(60 * S).is_ok(), "below the limit again");
@@ -234,11 +234,11 @@
             limiter.asks(0, slot, "");
         }
     }
-    limiter.leave(S);
+    limiter.drain(S);
     let mut asked = BTreeSet::new();
     let mut by_half_second = BTreeMap::<u64, usize>::new();
     let mut now = S;
-    while limiter.is_asking() {
+    while limiter.is_draining() {
         for act in due_actions(&mut limiter, now) {
             let Act::AskToLeave(slot) = act else { panic!("{act:?}") };
             assert!(asked.insert(slot), "slot {slot} is asked to leave twice");
@@ -258,7 +258,7 @@
         _ = limiter.arrives(slot as u64 * S, slot, client_address(slot as u8), false, |_| true)
     });
     limiter.asks(9 * S, 0, "");
-    limiter.change(9 * S, DoorLimits { connections: 5, ..limits() });
+    limiter.set_limits(9 * S, DoorLimits { connections: 5, ..limits() });
     let mut left = Vec::new();
     for ms in 0..100 {
         for act in due_actions(&mut limiter, 9 * S + ms * 1_000) {
@@ -373,9 +373,9 @@
                 Step::SetLimit(connections) => {
                     limits.connections = connections;
                     excess = model.len().saturating_sub(connections);
-                    limiter.change(now, limits);
+                    limiter.set_limits(now, limits);
                 }
-                Step::Drain => limiter.leave(now),
+                Step::Drain => limiter.drain(now),
             }
             let mut returned = 0;
             while let Some(act) = limiter.act(now) {
--- a/crates/clients/src/clients.rs
+++ b/crates/clients/src/clients.rs
@@ -95,12 +95,12 @@
     pub fn change(&mut self, hub: &mut Hub, terms: ClientTerms) {
         self.terms = terms;
         hub.set_limits(terms.hub());
-        self.limiter.change(hub.clock().now(), terms.door);
+        self.limiter.set_limits(hub.clock().now(), terms.door);
     }
 
-    /// Whether another acceptor process is below its connection limit.
-    pub fn room_elsewhere(&mut self, capacity_elsewhere: bool) {
-        self.limiter.room_elsewhere(capacity_elsewhere);
+    /// Sets whether another acceptor process is below its connection limit.
+    pub fn set_capacity_elsewhere(&mut self, capacity_elsewhere: bool) {
+        self.limiter.set_capacity_elsewhere(capacity_elsewhere);
     }
 
     /// Accepts the connections in the backlog, stops listening, and asks all connections to leave, spread
@@ -109,7 +109,7 @@
         self.draining = true;
         hub.accept_waiting();
         hub.stop_listening();
-        self.limiter.leave(hub.clock().now());
+        self.limiter.drain(hub.clock().now());
     }
 
     /// Counters of connections.
@@ -119,11 +119,11 @@
 
     /// Whether some connections are still to be asked to leave.
     pub fn is_asking(&self) -> bool {
-        self.limiter.is_asking()
+        self.limiter.is_draining()
     }
 
     /// Whether output still waits to be sent.
-    pub fn owes(&self, hub: &Hub) -> bool {
+    pub fn has_unsent_output(&self, hub: &Hub) -> bool {
         self.states.iter().filter_map(|state| state.connection).any(|connection| hub.backlog(connection) > 0)
     }
 
@@ -164,7 +164,7 @@
                 // A connection that was rejected as it arrived is closed as well, without a state here.
                 if self.is_connected(connection) {
                     self.open_requests =
-                        self.open_requests.saturating_sub(self.limiter.open(slot(connection)));
+                        self.open_requests.saturating_sub(self.limiter.open_requests(slot(connection)));
                     self.limiter.left(slot(connection));
                     self.states[slot(connection)] = State::default();
                     self.queue_request(hub.came(), connection, Message::Bye { reason: String::new() });
@@ -226,8 +226,8 @@
         else {
             return;
         };
-        if self.limiter.open(slot(connection)) as usize >= self.terms.per_connection {
-            self.limiter.refused();
+        if self.limiter.open_requests(slot(connection)) as usize >= self.terms.per_connection {
+            self.limiter.count_refused();
             let (status, reason) = (Status::Refused, "connection-full".into());
             let answer =
                 Message::Answer { number, status, reason, retry_after: 0, body: Vec::new(), origin: None };
--- a/crates/clients/src/trunk.rs
+++ b/crates/clients/src/trunk.rs
@@ -106,7 +106,7 @@
     }
     let http = listener_ids.get(1).copied().filter(|_| config.http);
     let mut clients = Clients::new(&mut hub, config.terms, http);
-    clients.room_elsewhere(config.room_elsewhere);
+    clients.set_capacity_elsewhere(config.room_elsewhere);
     let last_counts = (0, Vec::new());
     Acceptor {
         hub,
@@ -141,7 +141,7 @@
     fn run(&mut self) -> anyhow::Result<()> {
         loop {
             let now = self.hub.clock().now();
-            if self.exit_at.is_some_and(|at| at <= now || !self.clients.owes(&self.hub)) {
+            if self.exit_at.is_some_and(|at| at <= now || !self.clients.has_unsent_output(&self.hub)) {
                 return Ok(());
             }
             // Connections that are still to be asked to leave are asked first.
@@ -210,7 +210,7 @@
             Message::Terms { json } => {
                 let config: Told = serde_json::from_slice(&json)?;
                 self.clients.change(&mut self.hub, config.terms);
-                self.clients.room_elsewhere(config.room_elsewhere);
+                self.clients.set_capacity_elsewhere(config.room_elsewhere);
                 self.finishing |= config.finish;
             }
             Message::Leave {} => {
