--- a/crates/admission/src/descriptors.rs
+++ b/crates/admission/src/descriptors.rs
@@ -15,7 +15,7 @@
 /// Listeners, logs, event loop, worker list, stored state, a reload of the settings, and descriptors that the
 /// standard library opens for a short time.
 const OWN_DESCRIPTORS: usize = 24;
-/// More acceptor processes than this mean a mistake in the settings.
+/// Most acceptor processes that are chosen automatically; a need for more means a mistake in the settings.
 const MAX_ACCEPTORS: usize = 64;
 
 /// How client connections are split between processes.
@@ -50,7 +50,7 @@
         let holders = match holders {
             Some(given) => given,
             None if connections <= self.own_capacity() => 0,
-            // A descriptor limit that would take so many processes is taken as intended.
+            // So low a descriptor limit is taken as intended: the gateway process holds what it can.
             None if needed > MAX_ACCEPTORS => 0,
             None => needed,
         };
--- a/crates/admission/src/door.rs
+++ b/crates/admission/src/door.rs
@@ -33,8 +33,8 @@
     pub half: Micros,
     /// A partial message of which nothing has been received for this long is given up earlier; 0: it is not.
     pub half_silent: Micros,
-    /// Limit of connections whose message has been partial for longer than `evict_after`. Beyond it, the one
-    /// among them that has been silent for longest is closed, unless it has an open request.
+    /// Connections with a partial message. Beyond it, the longest silent is closed among those without an open
+    /// request whose message has been partial for longer than `evict_after`.
     pub half_connections: usize,
     /// Bytes of partial messages, over all connections.
     pub half_bytes: usize,
@@ -143,7 +143,7 @@
 /// The only queue of `silence_timers`: connections with a partial message, by when bytes were last received.
 const SILENT: usize = 0;
 
-/// At the connection limit, the time until `may_accept` is to be asked again if no timer tells it.
+/// At the connection limit, the time after which `may_accept` is to be asked again if no timer decides it.
 const FULL_RECHECK: Micros = 1_000_000;
 /// Clients that reconnect at up to this rate overload no one, so draining need not be slower.
 const MIN_DRAIN_PER_S: u64 = 100;
