--- a/crates/clients/src/trunk.rs
+++ b/crates/clients/src/trunk.rs
@@ -58,7 +58,7 @@
 }
 
 /// Receives the listeners that the other end sends.
-pub fn take_over(trunk: &impl AsFd) -> io::Result<Vec<OwnedFd>> {
+pub fn receive_listeners(trunk: &impl AsFd) -> io::Result<Vec<OwnedFd>> {
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_LISTENERS))];
     let mut control = RecvAncillaryBuffer::new(&mut space);
     let mut byte = [0];
@@ -77,7 +77,7 @@
 /// Runs an acceptor process until its gateway exits. The trunk is its standard input.
 pub fn hold() -> anyhow::Result<()> {
     let trunk = io::stdin().as_fd().try_clone_to_owned()?;
-    let listeners = take_over(&trunk).context("standard input is not a socket of a gateway")?;
+    let listeners = receive_listeners(&trunk).context("standard input is not a socket of a gateway")?;
     anyhow::ensure!(
         !listeners.is_empty() && listeners.len() <= MAX_LISTENERS,
         "expected one or two listeners from the gateway"
