--- a/crates/carriers/examples/connection_cost.rs
+++ b/crates/carriers/examples/connection_cost.rs
@@ -1,10 +1,11 @@
-//! What connections to workers cost a gateway: resident memory and the processor time of looking for idle ones, by
-//! their number; each stands, has carried one attempt and is idle.
+//! Measures what a gateway spends on connections to workers, by their number: resident memory, and processor
+//! time of the search for idle connections. Each connection is established, has carried one attempt and is
+//! idle.
 //!
 //! `cargo run --release -p cresswheel-carriers --example connection_cost`
 //!
-//! The workers are one process that accepts and holds. Memory is resident bytes of a process of its own for each run,
-//! the kernel's not counted. At most 8,000 connections a process, on loopback.
+//! One process that accepts and holds connections stands for all workers. Each run is a process of its own;
+//! its resident bytes don't include kernel memory. At most 8,000 connections per process, on loopback.
 
 use std::io::{BufRead, BufReader};
 use std::net::{SocketAddr, TcpListener};
@@ -17,14 +18,14 @@
 
 const CONNECTIONS: [usize; 5] = [200, 1_000, 2_000, 4_000, 8_000];
 const RUNS: usize = 3;
-const LOOKS: usize = 20;
-/// Connections that may be under way at once: fewer than wait in a listener's queue.
-const AT_ONCE: usize = 64;
+const SEARCHES: usize = 20;
+/// Connections opened concurrently: fewer than fit the listen backlog.
+const MAX_CONNECTING: usize = 64;
 const HOUR: u64 = 3_600_000_000;
 const WORKERS: &str = "workers";
 
-/// Accepts and holds connections until its standard input ends with the process that started it.
-fn be_workers() {
+/// Accepts and holds connections until its standard input ends with the parent process.
+fn run_workers() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback");
     println!("{}", listener.local_addr().expect("an address"));
     std::thread::spawn(move || {
@@ -45,14 +46,14 @@
     (child, address)
 }
 
-/// A hub with so many connections, each to a worker of its own.
-struct Bed {
+/// An event loop with connections to workers, each to a worker of its own.
+struct Fixture {
     hub: Hub,
     carriers: Carriers,
     limits: CarrierLimits,
 }
 
-impl Bed {
+impl Fixture {
     fn new() -> Self {
         let limits = CarrierLimits {
             wire: Wire::Frames,
@@ -66,76 +67,77 @@
     }
 
     fn connect(&mut self, address: SocketAddr, connections: std::ops::Range<usize>) {
-        let mut waiting = 0;
+        let mut connecting = 0;
         for number in connections {
             let worker = WorkerId::from(format!("worker-{number:05}").as_str());
             let cargo = Cargo::Attempt(number as u64);
             let frame = |out: &mut Vec<u8>| out.extend([0; 150]);
             let to = (&worker, address);
-            let given = self.carriers.give(&mut self.hub, &self.limits, to, (cargo, frame), |_| true, |_| {});
-            given.expect("a connection");
-            waiting += 1;
-            while waiting >= AT_ONCE {
-                waiting -= self.stand();
+            let connection =
+                self.carriers.give(&mut self.hub, &self.limits, to, (cargo, frame), |_| true, |_| {});
+            connection.expect("a connection");
+            connecting += 1;
+            while connecting >= MAX_CONNECTING {
+                connecting -= self.await_established();
             }
         }
-        while waiting > 0 {
-            waiting -= self.stand();
+        while connecting > 0 {
+            connecting -= self.await_established();
         }
-        // What was written has left; attempts are over.
-        self.hub.wait(Some(self.hub.clock().now() + 50_000)).expect("a turn");
+        // The frames are sent by now; the attempts end here.
+        self.hub.wait(Some(self.hub.clock().now() + 50_000)).expect("a loop iteration");
         (0..self.carriers.connections()).for_each(|number| _ = self.carriers.done(&self.hub, number as u64));
     }
 
-    /// Waits a turn; gives how many connections stand since.
-    fn stand(&mut self) -> usize {
-        self.hub.wait(Some(self.hub.clock().now() + 1_000_000)).expect("a turn");
-        let mut stood = 0;
+    /// Runs one loop iteration; returns the number of connections established in it.
+    fn await_established(&mut self) -> usize {
+        self.hub.wait(Some(self.hub.clock().now() + 1_000_000)).expect("a loop iteration");
+        let mut established = 0;
         while let Some(notice) = self.hub.take_notice() {
             match notice {
                 Notice::Connected(connection) => {
                     self.carriers.stands(connection);
-                    stood += 1;
+                    established += 1;
                 }
                 Notice::Closed { why, .. } => panic!("a connection was lost: {why}"),
                 _ => {}
             }
         }
-        stood
+        established
     }
 }
 
-/// Bytes for so many connections, and microseconds of a look for idle ones.
+/// Resident bytes of this many connections, and microseconds of one search for idle ones.
 fn measure(connections: usize) -> (f64, f64) {
     let (mut child, address) = start_workers();
-    let mut bed = Bed::new();
-    bed.connect(address, 0..50);
+    let mut fixture = Fixture::new();
+    fixture.connect(address, 0..50);
     let before = resident_bytes().expect("/proc");
-    bed.connect(address, 50..50 + connections);
+    fixture.connect(address, 50..50 + connections);
     let grown = resident_bytes().expect("/proc") - before;
     let began = thread_time();
-    for _ in 0..LOOKS {
-        bed.carriers.close_idle(&mut bed.hub, HOUR);
+    for _ in 0..SEARCHES {
+        fixture.carriers.close_idle(&mut fixture.hub, HOUR);
     }
-    let look = (thread_time() - began).as_secs_f64() * 1e6 / LOOKS as f64;
+    let search_us = (thread_time() - began).as_secs_f64() * 1e6 / SEARCHES as f64;
     drop(child.stdin.take());
     child.wait().expect("its end");
-    (grown, look)
+    (grown, search_us)
 }
 
 fn main() {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     match &arguments[..] {
-        [word] if word == WORKERS => return be_workers(),
+        [word] if word == WORKERS => return run_workers(),
         [what, connections] => {
-            let (bytes, look) = measure(connections.parse().expect("connections"));
-            return println!("{}", if what == "bytes" { bytes } else { look });
+            let (bytes, search_us) = measure(connections.parse().expect("connections"));
+            return println!("{}", if what == "bytes" { bytes } else { search_us });
         }
         _ => {}
     }
     for (what, name, unit) in [
         ("bytes", "memory of idle connections to workers", "resident bytes"),
-        ("look", "a look for idle connections", "us"),
+        ("search", "a search for idle connections", "us"),
     ] {
         let mut series = Series::new(name, unit, "connections");
         for connections in CONNECTIONS {
--- a/crates/carriers/src/lib.rs
+++ b/crates/carriers/src/lib.rs
@@ -1,8 +1,10 @@
-//! Connections to the workers: which one carries an attempt, what is out on each.
+//! Connection pool to the workers: chooses the connection for each attempt and order, and tracks what is in
+//! flight on each connection.
 //!
-//! The carriers know no calls and no protocol: a shell says what its wire is and writes its own frames. A connection
-//! is opened when those that stand are full, up to a bound; for a closed one each attempt and order on it is told
-//! how it ended. Both shells use this, so that what proves 'never ran' is found out in one way.
+//! The pool knows nothing of calls or of the protocol: the I/O loop that uses it names the wire format and
+//! writes its own frames. When all connections to a worker are full, another one is opened, up to a limit.
+//! When a connection closes, the pool reports how each attempt and order on it ended. Both I/O loops use this
+//! pool, so that they determine in the same way which attempts certainly never ran.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -13,67 +15,71 @@
 use cresswheel_transport::{Connection, Hub, Sent, Wire};
 use foldhash::HashMap;
 
-/// One connection to a worker.
-struct Carrier {
+/// A pooled connection to a worker.
+struct PooledConnection {
     worker: WorkerId,
-    stands: bool,
+    established: bool,
     attempts: BTreeSet<u64>,
     orders: BTreeSet<u64>,
-    /// When an attempt was begun or over here last; orders and probes don't count, as workers don't count them.
+    /// When an attempt last began or ended here. Orders and probes don't count, since workers don't count
+    /// them either.
     idle_since: Micros,
-    /// Nothing new here: the worker said that it goes away, or the shell gave the connection up.
+    /// Takes nothing new: the worker announced that it goes away, or the I/O loop retired the connection.
     leaving: bool,
 }
 
-impl Carrier {
-    fn load(&self) -> usize {
+impl PooledConnection {
+    fn in_flight(&self) -> usize {
         self.attempts.len() + self.orders.len()
     }
 
-    /// No attempt has been here for so long that the worker may be closing it: one sent now could cross that.
+    /// Whether no attempt has been in flight for so long that the worker may be closing the connection: an
+    /// attempt sent now could cross the close.
     fn is_stale(&self, now: Micros, idle: Micros) -> bool {
-        self.stands && self.attempts.is_empty() && self.idle_since.saturating_add(idle) <= now
+        self.established && self.attempts.is_empty() && self.idle_since.saturating_add(idle) <= now
     }
 }
 
 /// All connections to workers.
 #[derive(Default)]
 pub struct Carriers {
-    carriers: HashMap<Connection, Carrier>,
+    connections: HashMap<Connection, PooledConnection>,
     by_worker: HashMap<WorkerId, Vec<Connection>>,
-    /// Where each attempt and order is out.
-    places: HashMap<u64, Connection>,
+    /// The connection that carries each attempt and order in flight.
+    assignments: HashMap<u64, Connection>,
 }
 
-/// Bounds of the carriers.
+/// Limits of the connection pool.
 #[derive(Clone, Copy, Debug)]
 pub struct CarrierLimits {
-    /// What is spoken on them.
+    /// Wire format of the connections.
     pub wire: Wire,
     /// Connections to one worker.
     pub connections: usize,
-    /// Attempts and orders that one connection carries at once.
+    /// Attempts and orders in flight on one connection.
     pub streams: usize,
-    /// Another connection is opened, while there is room for one, when each carries so many attempts.
+    /// Below the limit on connections, another one is opened once each existing one has this many attempts in
+    /// flight.
     pub spread: usize,
-    /// A connection must stand after this.
+    /// A connection that is not established within this time is given up.
     pub connect_timeout: Micros,
-    /// One on which no attempt has been for so long carries no further attempt, and is closed once nothing is out.
+    /// After this time without an attempt, a connection takes no further attempts, and is closed once nothing
+    /// is in flight on it.
     pub idle: Micros,
 }
 
-/// What is to be carried, by its number.
+/// What is sent on a connection, by its number.
 #[derive(Clone, Copy, Debug)]
 pub enum Cargo {
     /// An attempt.
     Attempt(u64),
-    /// A hold order.
+    /// A prewarm order.
     Order(u64),
 }
 
 impl Carriers {
-    /// Hands a frame to a connection to the worker and tells which; `None`: none is to be had. `begin` writes what
-    /// a new connection begins with; `usable` may rule out connections.
+    /// Writes a frame to a connection to the worker and returns the connection, or `None` if none is
+    /// available. `begin` writes the preamble of a new connection; `usable` may exclude connections.
     pub fn give(
         &mut self,
         hub: &mut Hub,
@@ -84,44 +90,45 @@
         begin: impl FnOnce(&mut Vec<u8>),
     ) -> Option<Connection> {
         let now = hub.clock().now();
-        let here = self.by_worker.get(worker).map_or(&[][..], Vec::as_slice);
+        let to_worker = self.by_worker.get(worker).map_or(&[][..], Vec::as_slice);
         let stale = |c: &Connection| {
-            matches!(cargo, Cargo::Attempt(_)) && self.carriers[c].is_stale(now, limits.idle)
+            matches!(cargo, Cargo::Attempt(_)) && self.connections[c].is_stale(now, limits.idle)
         };
-        let free = |c: &Connection| {
-            !self.carriers[c].leaving && self.carriers[c].load() < limits.streams && !stale(c)
+        let available = |c: &Connection| {
+            !self.connections[c].leaving && self.connections[c].in_flight() < limits.streams && !stale(c)
         };
-        let mut all = here.iter().copied().filter(|c| free(c) && usable(*c));
-        // Orders are in nobody's way while they wait. They go where most attempts go, to the connection that stands
-        // longest: a worker may end one on which no attempt has been for a while, whatever orders wait there.
-        let attempts = |c: Connection| self.carriers[&c].attempts.len();
-        let least = match cargo {
-            Cargo::Attempt(_) => all.min_by_key(|c| attempts(*c)),
-            Cargo::Order(_) => all.next(),
+        let mut candidates = to_worker.iter().copied().filter(|c| available(c) && usable(*c));
+        // Orders delay nobody while they wait. They go to the connection established first, which most
+        // attempts use as well: a worker may close a connection without recent attempts, even if orders wait
+        // there.
+        let attempts = |c: Connection| self.connections[&c].attempts.len();
+        let candidate = match cargo {
+            Cargo::Attempt(_) => candidates.min_by_key(|c| attempts(*c)),
+            Cargo::Order(_) => candidates.next(),
         };
-        let room = here.iter().filter(|c| !stale(c)).count() < limits.connections;
-        let shared = !room || matches!(cargo, Cargo::Order(_));
-        let connection = match least.filter(|c| shared || attempts(*c) < limits.spread) {
+        let below_limit = to_worker.iter().filter(|c| !stale(c)).count() < limits.connections;
+        let may_share = !below_limit || matches!(cargo, Cargo::Order(_));
+        let connection = match candidate.filter(|c| may_share || attempts(*c) < limits.spread) {
             Some(connection) => connection,
-            None if !room => return None,
+            None if !below_limit => return None,
             None => self.open(hub, limits, (worker, address), begin)?,
         };
         let (Cargo::Attempt(number) | Cargo::Order(number)) = cargo;
         if !hub.write(connection, Some(number), frame) {
             return None;
         }
-        if let Some(carrier) = self.carriers.get_mut(&connection) {
+        if let Some(pooled) = self.connections.get_mut(&connection) {
             match cargo {
-                Cargo::Attempt(_) => carrier.attempts.insert(number),
-                Cargo::Order(_) => carrier.orders.insert(number),
+                Cargo::Attempt(_) => pooled.attempts.insert(number),
+                Cargo::Order(_) => pooled.orders.insert(number),
             };
         }
-        self.places.insert(number, connection);
+        self.assignments.insert(number, connection);
         Some(connection)
     }
 
-    /// Begins a connection with nothing on it, if there is none to the worker that stands or is begun and there is room;
-    /// gives the new one.
+    /// Opens a connection without sending anything on it if there is no usable one to the worker and the
+    /// limit allows it; returns the new connection.
     pub fn connect(
         &mut self,
         hub: &mut Hub,
@@ -129,8 +136,8 @@
         to: (&WorkerId, SocketAddr),
         begin: impl FnOnce(&mut Vec<u8>),
     ) -> Option<Connection> {
-        let here = self.by_worker.get(to.0).into_iter().flatten();
-        let usable = here.filter(|connection| !self.carriers[connection].leaving).count();
+        let to_worker = self.by_worker.get(to.0).into_iter().flatten();
+        let usable = to_worker.filter(|connection| !self.connections[connection].leaving).count();
         if usable > 0 || limits.connections == 0 {
             return None;
         }
@@ -148,33 +155,35 @@
         if !hub.is_open(connection) {
             return None;
         }
-        let carrier = Carrier {
+        let pooled = PooledConnection {
             worker: worker.clone(),
-            stands: false,
+            established: false,
             attempts: BTreeSet::new(),
             orders: BTreeSet::new(),
             idle_since: hub.clock().now(),
             leaving: false,
         };
-        self.carriers.insert(connection, carrier);
+        self.connections.insert(connection, pooled);
         self.by_worker.entry(worker.clone()).or_default().push(connection);
         hub.write(connection, None, begin);
         Some(connection)
     }
 
-    /// A frame that is no attempt or order, if a connection stands; gives the one that carries it.
+    /// Sends a frame that is neither attempt nor order if there is an established connection; returns that
+    /// connection.
     pub fn tell(
         &mut self,
         hub: &mut Hub,
         worker: &WorkerId,
         frame: impl FnOnce(&mut Vec<u8>),
     ) -> Option<Connection> {
-        let stands = |c: &&Connection| self.carriers.get(c).is_some_and(|c| c.stands && !c.leaving);
-        let connection = *self.by_worker.get(worker)?.iter().find(stands)?;
+        let established =
+            |c: &&Connection| self.connections.get(c).is_some_and(|c| c.established && !c.leaving);
+        let connection = *self.by_worker.get(worker)?.iter().find(established)?;
         hub.write(connection, None, frame).then_some(connection)
     }
 
-    /// Tells the worker that an attempt is called off, on the connection that carries it, which is given back.
+    /// Sends the worker a cancellation on the connection that carries the attempt; returns that connection.
     pub fn call_off(
         &mut self,
         hub: &mut Hub,
@@ -186,134 +195,137 @@
         Some(connection)
     }
 
-    /// Takes an attempt or order back; true: no byte of it had left.
+    /// Withdraws an attempt or order if no byte of it was sent; returns whether it did.
     pub fn withdraw(&mut self, hub: &mut Hub, number: u64) -> bool {
-        let Some(connection) = self.places.get(&number).copied() else { return false };
-        let taken = hub.withdraw(connection, number);
-        if taken {
+        let Some(connection) = self.assignments.get(&number).copied() else { return false };
+        let withdrawn = hub.withdraw(connection, number);
+        if withdrawn {
             self.done(hub, number);
         }
-        taken
+        withdrawn
     }
 
-    /// Takes back all for a worker of which no byte has left, and tells how it ended.
+    /// Withdraws all attempts and orders for a worker of which no byte was sent, and returns how they ended.
     pub fn withdraw_all(&mut self, hub: &mut Hub, worker: &WorkerId) -> Vec<Input> {
-        let here = self.by_worker.get(worker).cloned().unwrap_or_default();
+        let to_worker = self.by_worker.get(worker).cloned().unwrap_or_default();
         let mut ended = Vec::new();
-        for carrier in here.iter().filter_map(|connection| self.carriers.get(connection)) {
-            ended.extend(carrier.attempts.iter().copied().map(Cargo::Attempt));
-            ended.extend(carrier.orders.iter().copied().map(Cargo::Order));
+        for pooled in to_worker.iter().filter_map(|connection| self.connections.get(connection)) {
+            ended.extend(pooled.attempts.iter().copied().map(Cargo::Attempt));
+            ended.extend(pooled.orders.iter().copied().map(Cargo::Order));
         }
         ended.retain(|(Cargo::Attempt(number) | Cargo::Order(number))| self.withdraw(hub, *number));
-        let told = |cargo| match cargo {
+        let input = |cargo| match cargo {
             Cargo::Attempt(number) => Input::AttemptEnded(number, AttemptEnd::TakenBack, Vec::new(), None),
             Cargo::Order(number) => Input::OrderEnded(number, OrderEnd::NotConnected, 0),
         };
-        ended.into_iter().map(told).collect()
+        ended.into_iter().map(input).collect()
     }
 
-    /// An attempt or order is no longer out; gives the connection that carried it.
+    /// Removes an attempt or order that is no longer in flight; returns the connection that carried it.
     pub fn done(&mut self, hub: &Hub, number: u64) -> Option<Connection> {
-        let connection = self.places.remove(&number)?;
-        let carrier = self.carriers.get_mut(&connection)?;
-        if carrier.attempts.remove(&number) {
-            carrier.idle_since = hub.clock().now();
+        let connection = self.assignments.remove(&number)?;
+        let pooled = self.connections.get_mut(&connection)?;
+        if pooled.attempts.remove(&number) {
+            pooled.idle_since = hub.clock().now();
         }
-        carrier.orders.remove(&number);
+        pooled.orders.remove(&number);
         Some(connection)
     }
 
-    /// Whether an attempt or order waits here, without a byte of it having left.
+    /// Whether an attempt or order is queued here and no byte of it was sent.
     pub fn is_waiting(&self, hub: &Hub, number: u64) -> bool {
-        let connection = self.places.get(&number);
+        let connection = self.assignments.get(&number);
         connection.is_some_and(|connection| hub.sent(*connection, number) == Sent::Nothing)
     }
 
-    /// Whose connection it is.
+    /// The worker at the other end of a connection.
     pub fn worker(&self, connection: Connection) -> Option<WorkerId> {
-        self.carriers.get(&connection).map(|carrier| carrier.worker.clone())
+        self.connections.get(&connection).map(|pooled| pooled.worker.clone())
     }
 
-    /// Whether another connection to the same worker stands.
+    /// Whether another connection to the same worker is established.
     pub fn has_sibling(&self, connection: Connection) -> bool {
-        let worker = self.carriers.get(&connection).map(|carrier| &carrier.worker);
-        let here = worker.and_then(|worker| self.by_worker.get(worker));
-        here.into_iter().flatten().any(|c| *c != connection && self.carriers[c].stands)
+        let worker = self.connections.get(&connection).map(|pooled| &pooled.worker);
+        let to_worker = worker.and_then(|worker| self.by_worker.get(worker));
+        to_worker.into_iter().flatten().any(|c| *c != connection && self.connections[c].established)
     }
 
-    /// Whether it is a connection to a worker.
+    /// Whether this is a connection to a worker.
     pub fn is_ours(&self, connection: Connection) -> bool {
-        self.carriers.contains_key(&connection)
+        self.connections.contains_key(&connection)
     }
 
-    /// Whether the answer to this number is expected from this connection.
+    /// Whether the answer to this number is expected on this connection.
     pub fn carries(&self, connection: Connection, number: u64) -> bool {
-        self.places.get(&number) == Some(&connection)
+        self.assignments.get(&number) == Some(&connection)
     }
 
-    /// A connection stands.
+    /// Marks a connection as established.
     pub fn stands(&mut self, connection: Connection) {
-        self.carriers.entry(connection).and_modify(|c| c.stands = true);
+        self.connections.entry(connection).and_modify(|c| c.established = true);
     }
 
-    /// Nothing new goes to this connection.
+    /// Marks a connection as leaving: it takes nothing new.
     pub fn leaving(&mut self, connection: Connection) {
-        self.carriers.entry(connection).and_modify(|c| c.leaving = true);
+        self.connections.entry(connection).and_modify(|c| c.leaving = true);
     }
 
-    /// Nothing new goes to the connections that stand or are begun to a worker.
+    /// Marks all connections to a worker as leaving, established or not.
     pub fn all_leaving(&mut self, worker: &WorkerId) {
         for connection in self.by_worker.get(worker).cloned().unwrap_or_default() {
             self.leaving(connection);
         }
     }
 
-    /// A connection is gone: how each attempt and order on it ended.
-    pub fn closed(&mut self, connection: Connection, never_stood: bool, unsent: &[u64]) -> Vec<Input> {
-        let Some(carrier) = self.carriers.remove(&connection) else { return Vec::new() };
-        if let Some(here) = self.by_worker.get_mut(&carrier.worker) {
-            here.retain(|c| *c != connection);
-            if here.is_empty() {
-                self.by_worker.remove(&carrier.worker);
+    /// Removes a closed connection and returns how each attempt and order on it ended.
+    pub fn closed(&mut self, connection: Connection, never_established: bool, unsent: &[u64]) -> Vec<Input> {
+        let Some(pooled) = self.connections.remove(&connection) else { return Vec::new() };
+        if let Some(to_worker) = self.by_worker.get_mut(&pooled.worker) {
+            to_worker.retain(|c| *c != connection);
+            if to_worker.is_empty() {
+                self.by_worker.remove(&pooled.worker);
             }
         }
         let unsent: BTreeSet<u64> = unsent.iter().copied().collect();
         let mut ended = Vec::new();
-        for attempt in carrier.attempts {
-            self.places.remove(&attempt);
+        for attempt in pooled.attempts {
+            self.assignments.remove(&attempt);
             ended.push(match unsent.contains(&attempt) {
-                true => never_left(attempt, never_stood),
+                true => unsent_attempt_ended(attempt, never_established),
                 false => Input::AttemptEnded(attempt, AttemptEnd::Broken, Vec::new(), None),
             });
         }
-        for order in carrier.orders {
-            self.places.remove(&order);
-            let end = if never_stood { OrderEnd::NotConnected } else { OrderEnd::Broken };
+        for order in pooled.orders {
+            self.assignments.remove(&order);
+            let end = if never_established { OrderEnd::NotConnected } else { OrderEnd::Broken };
             ended.push(Input::OrderEnded(order, end, 0));
         }
         ended
     }
 
-    /// Closes connections on which nothing has been out for a while, and those given up once nothing is.
+    /// Closes idle connections, and leaving ones with nothing in flight.
     pub fn close_idle(&mut self, hub: &mut Hub, idle: Micros) {
         let now = hub.clock().now();
-        let over = |c: &Carrier| c.stands && c.load() == 0 && (c.leaving || c.is_stale(now, idle));
-        let closing: Vec<_> = self.carriers.iter().filter(|(_, c)| over(c)).map(|(id, _)| *id).collect();
+        let closable = |c: &PooledConnection| {
+            c.established && c.in_flight() == 0 && (c.leaving || c.is_stale(now, idle))
+        };
+        let closing: Vec<_> =
+            self.connections.iter().filter(|(_, c)| closable(c)).map(|(id, _)| *id).collect();
         closing.into_iter().for_each(|connection| hub.close(connection, "idle"));
     }
 
-    /// Connections to workers.
+    /// Number of connections to workers.
     pub fn connections(&self) -> usize {
-        self.carriers.len()
+        self.connections.len()
     }
 
-    /// Attempts and orders that are out.
+    /// Number of attempts and orders in flight.
     pub fn out(&self) -> usize {
-        self.places.len()
+        self.assignments.len()
     }
 }
 
-fn never_left(attempt: u64, never_stood: bool) -> Input {
-    let end = if never_stood { AttemptEnd::NotConnected } else { AttemptEnd::NotWritten };
+fn unsent_attempt_ended(attempt: u64, never_established: bool) -> Input {
+    let end = if never_established { AttemptEnd::NotConnected } else { AttemptEnd::NotWritten };
     Input::AttemptEnded(attempt, end, Vec::new(), None)
 }
--- a/crates/carriers/tests/idle.rs
+++ b/crates/carriers/tests/idle.rs
@@ -1,4 +1,4 @@
-//! Connections that a worker may be closing, over loopback sockets.
+//! Idle connections, which the worker may be closing at the same time; over loopback sockets.
 
 use std::net::TcpListener;
 use std::time::Duration;
@@ -8,15 +8,16 @@
 
 const IDLE: Duration = Duration::from_millis(50);
 
-/// A hub, its connections to one worker, and the worker's listener, which takes none: the kernel holds them.
-struct Bed {
+/// An event loop, its connections to one worker, and the worker's listener. The listener never accepts:
+/// connections stay in the kernel's backlog.
+struct Fixture {
     hub: Hub,
     carriers: Carriers,
     worker: TcpListener,
     limits: CarrierLimits,
 }
 
-impl Bed {
+impl Fixture {
     fn new(connections: usize) -> Self {
         let (wire, idle) = (Wire::Raw, IDLE.as_micros() as u64);
         let limits =
@@ -25,14 +26,14 @@
         Self { hub: Hub::new(HubLimits::default()).unwrap(), carriers: Carriers::default(), worker, limits }
     }
 
-    fn give(&mut self, cargo: Cargo) -> Option<Connection> {
+    fn send(&mut self, cargo: Cargo) -> Option<Connection> {
         let to = (&"w".into(), self.worker.local_addr().unwrap());
         let frame = |out: &mut Vec<u8>| out.push(0);
         self.carriers.give(&mut self.hub, &self.limits, to, (cargo, frame), |_| true, |_| {})
     }
 
-    /// Waits until a connection stands.
-    fn stands(&mut self, connection: Connection) {
+    /// Waits until a connection is established.
+    fn await_established(&mut self, connection: Connection) {
         let end = self.hub.clock().now() + 10_000_000;
         loop {
             while let Some(notice) = self.hub.take_notice() {
@@ -40,35 +41,35 @@
                     return self.carriers.stands(connection);
                 }
             }
-            assert!(self.hub.clock().now() < end, "it never stood");
+            assert!(self.hub.clock().now() < end, "the connection was not established");
             self.hub.wait(Some(end)).unwrap();
         }
     }
 }
 
 #[test]
-fn an_attempt_keeps_off_a_connection_on_which_none_was_for_long_whatever_orders_go_there() {
-    let mut bed = Bed::new(1);
-    let first = bed.give(Cargo::Attempt(1)).unwrap();
-    bed.stands(first);
-    bed.carriers.done(&bed.hub, 1);
-    // At once it is as good as any.
-    assert_eq!(bed.give(Cargo::Attempt(2)), Some(first));
-    bed.carriers.done(&bed.hub, 2);
+fn attempts_avoid_a_connection_without_recent_attempts_even_if_orders_use_it() {
+    let mut fixture = Fixture::new(1);
+    let first = fixture.send(Cargo::Attempt(1)).unwrap();
+    fixture.await_established(first);
+    fixture.carriers.done(&fixture.hub, 1);
+    // Before the idle timeout the connection is reused.
+    assert_eq!(fixture.send(Cargo::Attempt(2)), Some(first));
+    fixture.carriers.done(&fixture.hub, 2);
     std::thread::sleep(IDLE);
-    // Orders begin and end there: the worker does not count them, and may be closing it now.
-    assert_eq!(bed.give(Cargo::Order(3)), Some(first));
-    bed.carriers.done(&bed.hub, 3);
-    assert_eq!(bed.give(Cargo::Order(4)), Some(first));
-    // It takes no place from the one that the attempt needs.
-    let second = bed.give(Cargo::Attempt(5)).expect("a connection");
+    // Orders still use it: the worker does not count them, and may be closing the connection now.
+    assert_eq!(fixture.send(Cargo::Order(3)), Some(first));
+    fixture.carriers.done(&fixture.hub, 3);
+    assert_eq!(fixture.send(Cargo::Order(4)), Some(first));
+    // The idle connection doesn't count against the limit, so that the attempt gets another one.
+    let second = fixture.send(Cargo::Attempt(5)).expect("a connection");
     assert_ne!(second, first);
-    bed.stands(second);
-    // The order is still out, so the connection stays; then it goes.
-    let idle = bed.limits.idle;
-    bed.carriers.close_idle(&mut bed.hub, idle);
-    assert!(bed.hub.is_open(first));
-    bed.carriers.done(&bed.hub, 4);
-    bed.carriers.close_idle(&mut bed.hub, idle);
-    assert!(!bed.hub.is_open(first) && bed.hub.is_open(second));
+    fixture.await_established(second);
+    // While the order is in flight the connection stays open; after that it is closed.
+    let idle = fixture.limits.idle;
+    fixture.carriers.close_idle(&mut fixture.hub, idle);
+    assert!(fixture.hub.is_open(first));
+    fixture.carriers.done(&fixture.hub, 4);
+    fixture.carriers.close_idle(&mut fixture.hub, idle);
+    assert!(!fixture.hub.is_open(first) && fixture.hub.is_open(second));
 }
