--- a/crates/platform-wire/src/client.rs
+++ b/crates/platform-wire/src/client.rs
@@ -5,7 +5,7 @@
 
 use cresswheel_protocol::Shape;
 
-use crate::buffer::{DecodeBuffer, InputBuffer};
+use crate::held::{DecodeBuffer, InputBuffer};
 
 /// Largest length of a frame, which counts type, stream and payload.
 pub const MAX_LENGTH: usize = 262_144;
--- a/crates/platform-wire/src/host.rs
+++ b/crates/platform-wire/src/host.rs
@@ -6,7 +6,7 @@
 
 use std::io::Write;
 
-use crate::buffer::{DecodeBuffer, InputBuffer};
+use crate::held::{DecodeBuffer, InputBuffer};
 
 /// Longest body of an answer: it fits a client frame together with the frame's header.
 const MAX_BODY: usize = crate::client::MAX_LENGTH - 64;
--- a/crates/platform-wire/src/lib.rs
+++ b/crates/platform-wire/src/lib.rs
@@ -5,8 +5,9 @@
 //! bytes, or one error. An announced size is checked against its limit before any of its bytes is buffered.
 //! `docs/PLATFORM.md` lists the limits.
 
-mod buffer;
 pub mod client;
 pub mod config;
 pub mod directory;
 pub mod host;
+
+mod held;
