--- a/crates/versions/examples/conductor_cost.rs
+++ b/crates/versions/examples/conductor_cost.rs
@@ -1,9 +1,10 @@
-//! What versions under way cost: bytes that a conductor and a gateway exchange, processor time of a conductor's turn
-//! by the gateways, and of a gateway's own look by the functions that have a plan.
+//! Measures the cost of rollouts: bytes exchanged between a conductor and a gateway, processor time of a
+//! conductor's turn by the number of gateways, and processor time of a gateway's own evaluation by the number
+//! of functions with a plan.
 //!
 //! `cargo run --release -p cresswheel-versions --example conductor_cost`
 //!
-//! Bytes are of the JSON within a frame. Times are microseconds of this thread's processor time.
+//! Bytes count the JSON within a frame. Times are microseconds of processor time of this thread.
 
 use std::hint::black_box;
 
@@ -13,18 +14,18 @@
     Status, Step, Stick, Versions,
 };
 
-const S: u64 = 1_000_000;
+const SECOND: u64 = 1_000_000;
 const GATEWAYS: [usize; 5] = [10, 68, 340, 680, 1_360];
 const FUNCTIONS: [usize; 5] = [10, 100, 1_000, 4_000, 10_000];
 const RUNS: usize = 5;
-/// The word that has this program measure memory only, in a process of its own.
-const MEMORY: &str = "memory";
+/// Argument that makes the program measure only memory, in a process of its own.
+const MEMORY_ARGUMENT: &str = "memory";
 
 fn step(ten_thousandths: u16) -> Step {
-    Step { share: Share::new(ten_thousandths).expect("a share"), hold: 600 * S }
+    Step { share: Share::new(ten_thousandths).expect("a share"), hold: 600 * SECOND }
 }
 
-/// A plan of four steps under a guard of one class, with digests.
+/// The first record of a plan with four steps, digests and a guard of one class.
 fn record(function: &str) -> Record {
     let digest = |version: u64| format!("sha256:{version:064x}");
     let plan = Plan {
@@ -44,14 +45,14 @@
             settle: 0,
             compare: None,
         },
-        lease: 60 * S,
-        preload: 5 * S,
-        keep_old: 600 * S,
+        lease: 60 * SECOND,
+        preload: 5 * SECOND,
+        keep_old: 600 * SECOND,
     };
-    Record::start(plan, None, 0x1234_5678_9abc, S, "ann", "release of the week").expect("a record")
+    Record::start(plan, None, 0x1234_5678_9abc, SECOND, "ann", "release of the week").expect("a record")
 }
 
-/// A gateway's status of the function after calls of both versions.
+/// Status of a gateway after calls of both versions.
 fn status(name: &str, record: &Record, now: u64) -> Status {
     let mut versions = Versions::new(name, 7, 680);
     versions.act(now, record.clone());
@@ -71,21 +72,21 @@
 fn print_bytes() {
     let record = record("function-01234");
     let renewal = Question::Renew(record.plan.function.clone(), record.mark());
-    let reply = Reply::Status(vec![status("gateway-001", &record, S)]);
+    let reply = Reply::Status(vec![status("gateway-001", &record, SECOND)]);
     println!("bytes of JSON, a function and a gateway");
     println!("  renewal   {:>5}", json(&renewal));
     println!("  order     {:>5}", json(&Question::Order(Box::new(record))));
     println!("  reply     {:>5}", json(&reply));
 }
 
-/// A turn of a conductor that hears all gateways, their replies read from JSON as they come.
-fn turn(gateways: usize) -> f64 {
+/// Microseconds of a conductor's turn with replies of all gateways, which are parsed from JSON.
+fn turn_us(gateways: usize) -> f64 {
     let record = record("function-01234");
-    let reply = serde_json::to_vec(&status("gateway-001", &record, S)).expect("JSON");
-    let mut conductor = Conductor::new(record, gateways, S);
-    let mut now = S;
+    let reply = serde_json::to_vec(&status("gateway-001", &record, SECOND)).expect("JSON");
+    let mut conductor = Conductor::new(record, gateways, SECOND);
+    let mut now = SECOND;
     let mut turn = || {
-        now += S;
+        now += SECOND;
         for gateway in 0..gateways {
             let status = serde_json::from_slice(black_box(&reply)).expect("a status");
             conductor.heard(gateway, now, Ok(Some(status)));
@@ -99,48 +100,48 @@
     (thread_time() - began).as_secs_f64() * 1e6 / 5.0
 }
 
-fn under_way(functions: usize) -> Versions {
+fn with_rollouts(functions: usize) -> Versions {
     let mut versions = Versions::new("gateway-001", 7, 680);
     for number in 0..functions {
         let record = record(&format!("function-{number:05}"));
         assert_eq!(record.kind, Kind::Start);
-        versions.act(S, record);
+        versions.act(SECOND, record);
     }
     versions
 }
 
-/// A gateway's look, once a second, at all functions under way, one call of each between looks.
-fn look(functions: usize) -> f64 {
-    let mut versions = under_way(functions);
+/// Microseconds of a gateway's evaluation of all rollouts, with one call of each function since the last one.
+fn look_us(functions: usize) -> f64 {
+    let mut versions = with_rollouts(functions);
     let mut spent = 0.0;
     for round in 1..=5 {
         for number in 0..functions {
             versions.answered(&format!("function-{number:05}"), Side::Old, "check", End::InTime, false);
         }
         let began = thread_time();
-        black_box(versions.look(S + round * LOOK_EVERY));
-        black_box(versions.expected(S + round * LOOK_EVERY));
+        black_box(versions.look(SECOND + round * LOOK_EVERY));
+        black_box(versions.expected(SECOND + round * LOOK_EVERY));
         spent += (thread_time() - began).as_secs_f64() * 1e6;
     }
     spent / 5.0
 }
 
-/// Choosing the version of a call, among so many functions.
-fn choose(functions: usize) -> f64 {
+/// Microseconds to choose the version of a call among this many functions.
+fn choose_us(functions: usize) -> f64 {
     const CALLS: usize = 20_000;
-    let versions = under_way(functions);
+    let versions = with_rollouts(functions);
     let began = thread_time();
     for number in 0..CALLS {
         let function = format!("function-{:05}", number % functions);
         let callers = Callers { account: "account-7", ..Callers::default() };
-        black_box(versions.choose(S, &function, &callers));
+        black_box(versions.choose(SECOND, &function, &callers));
     }
     (thread_time() - began).as_secs_f64() * 1e6 / CALLS as f64
 }
 
-fn memory(functions: usize) -> f64 {
+fn memory_bytes(functions: usize) -> f64 {
     let before = resident_bytes().expect("/proc");
-    let versions = black_box(under_way(functions));
+    let versions = black_box(with_rollouts(functions));
     let grown = resident_bytes().expect("/proc") - before;
     drop(versions);
     grown
@@ -149,23 +150,23 @@
 fn main() {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     if let [what, functions] = &arguments[..]
-        && what == MEMORY
+        && what == MEMORY_ARGUMENT
     {
-        return println!("{}", memory(functions.parse().expect("functions")));
+        return println!("{}", memory_bytes(functions.parse().expect("functions")));
     }
     print_bytes();
     let mut turns = Series::new("a conductor's turn of one function", "us", "gateways");
     for gateways in GATEWAYS {
-        turns.add(gateways, (0..RUNS).map(|_| turn(gateways)).collect());
+        turns.add(gateways, (0..RUNS).map(|_| turn_us(gateways)).collect());
     }
-    let mut looks = Series::new("a gateway's look at its plans", "us", "functions with a plan");
+    let mut looks = Series::new("a gateway's evaluation of its plans", "us", "functions with a plan");
     let mut choices = Series::new("choosing a call's version", "us", "functions with a plan");
-    let mut held = Series::new("memory of plans at a gateway", "bytes", "functions with a plan");
+    let mut memory = Series::new("memory of plans at a gateway", "bytes", "functions with a plan");
     for functions in FUNCTIONS {
-        looks.add(functions, (0..RUNS).map(|_| look(functions)).collect());
-        choices.add(functions, (0..RUNS).map(|_| choose(functions)).collect());
-        let child = [MEMORY.to_owned(), functions.to_string()];
-        held.add(functions, (0..RUNS).map(|_| value_of_child(&child).expect("a child")).collect());
+        looks.add(functions, (0..RUNS).map(|_| look_us(functions)).collect());
+        choices.add(functions, (0..RUNS).map(|_| choose_us(functions)).collect());
+        let child = [MEMORY_ARGUMENT.to_owned(), functions.to_string()];
+        memory.add(functions, (0..RUNS).map(|_| value_of_child(&child).expect("a child")).collect());
     }
-    println!("\n{turns}\n{looks}\n{choices}\n{held}");
+    println!("\n{turns}\n{looks}\n{choices}\n{memory}");
 }
--- a/crates/versions/src/choice.rs
+++ b/crates/versions/src/choice.rs
@@ -1,4 +1,4 @@
-//! Who is given which version.
+//! Assignment of a version to each caller.
 
 use std::fmt;
 use std::hash::Hasher;
@@ -6,18 +6,18 @@
 use serde::{Deserialize, Serialize};
 use siphasher::sip::SipHasher13;
 
-/// A part of the calls, in ten-thousandths.
+/// A share of the calls, in ten-thousandths.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "u16", into = "u16")]
 pub struct Share(u16);
 
 impl Share {
-    /// Of all calls none.
+    /// No calls.
     pub const NONE: Self = Self(0);
     /// All calls.
     pub const ALL: Self = Self(10_000);
 
-    /// So many of ten thousand; none above that.
+    /// This many ten-thousandths; `None` above 10,000.
     pub fn new(ten_thousandths: u16) -> Option<Self> {
         (ten_thousandths <= Self::ALL.0).then_some(Self(ten_thousandths))
     }
@@ -27,7 +27,7 @@
         self.0
     }
 
-    /// Whether it takes in the caller at this [`point`].
+    /// Whether the share includes callers with this [`point`].
     pub fn takes(self, point: u16) -> bool {
         point < self.0
     }
@@ -58,19 +58,20 @@
     }
 }
 
-/// What a caller's version sticks to.
+/// Affinity of versions: which calls get the same version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Stick {
-    /// Each call alone; a client's repeat, known by its key or trace, gets what the first try got.
+    /// Each call on its own; a client's retry, recognized by its key or trace, gets the version of the first
+    /// try.
     Call,
-    /// All calls of a tenant get the same.
+    /// All calls of a tenant.
     Tenant,
-    /// All calls of an account get the same.
+    /// All calls of an account.
     Account,
 }
 
-/// What a call tells of who calls; empty where it tells nothing.
+/// Identity of a caller as the call states it; empty where it does not.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Callers<'a> {
     /// The tenant.
@@ -81,13 +82,13 @@
     pub key: &'a str,
     /// The trace.
     pub trace: &'a str,
-    /// Names this very call, at this gateway.
+    /// Unique id of the call at this gateway.
     pub call: &'a str,
 }
 
 impl Stick {
-    /// What the choice is made from. `None`: the call does not tell it, and stays with the old version until that
-    /// has no calls at all.
+    /// The key that is hashed. `None`: the call does not state it, and gets the old version until the new one
+    /// has all calls.
     pub fn key<'a>(self, callers: &Callers<'a>) -> Option<&'a str> {
         match self {
             Self::Call => [callers.key, callers.trace, callers.call].into_iter().find(|key| !key.is_empty()),
@@ -97,11 +98,11 @@
     }
 }
 
-/// Where a caller stands among ten thousand, the same at every gateway and for as long as the plan lives. The hash
-/// is keyed, so that nobody who can choose its name can choose its version.
+/// Hash bucket of a caller from 0 to 9,999, the same at every gateway throughout a plan. The hash is keyed,
+/// so that a caller who chooses its own name can't choose its version.
 pub fn point(salt: [u64; 2], key: &str) -> u16 {
     let mut hasher = SipHasher13::new_with_keys(salt[0], salt[1]);
     hasher.write(key.as_bytes());
-    // Scaled, not reduced: every point is as likely.
+    // Multiply and shift instead of modulo: all buckets are equally likely.
     ((u128::from(hasher.finish()) * u128::from(Share::ALL.0)) >> 64) as u16
 }
--- a/crates/versions/src/compare.rs
+++ b/crates/versions/src/compare.rs
@@ -1,4 +1,4 @@
-//! Whether two versions answer alike: the same call run by both, their answers held against each other.
+//! Comparison of the answers of two versions to the same call, which both of them run.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,28 +8,30 @@
 /// How answers are compared.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Compare {
-    /// Part of the new version's safe calls that the old version runs as well.
+    /// Share of the new version's safe calls that the old version runs as well.
     pub share: Share,
-    /// The part of the answers that may differ.
+    /// Tolerated share of differing answers.
     pub differ: f64,
-    /// Numbers in the answers may differ by this part of the greater; 0: answers must be the same bytes.
+    /// Tolerated difference between numbers in the answers, relative to the greater one; 0: answers must be
+    /// identical bytes.
     pub within: f64,
 }
 
 impl Compare {
-    /// Whether the call of this name is run twice. Other callers than those whom the plan's own hash chooses first.
+    /// Whether both versions run the call with this id. The hash key is not the plan's, so that the compared
+    /// calls are independent of the assignment of versions.
     pub fn takes(&self, salt: [u64; 2], call: &str) -> bool {
         self.share.takes(point([!salt[1], !salt[0]], call))
     }
 
-    /// Whether two answers are alike.
+    /// Whether two answers are equal within the tolerance.
     pub fn same(&self, a: &[u8], b: &[u8]) -> bool {
-        a == b || (self.within > 0.0 && alike(a, b, self.within))
+        a == b || (self.within > 0.0 && equal_within(a, b, self.within))
     }
 }
 
-/// The number that a text begins with, and what follows it.
-fn number(text: &[u8]) -> Option<(f64, &[u8])> {
+/// Parses the number at the start of a text; returns it and the rest.
+fn parse_number(text: &[u8]) -> Option<(f64, &[u8])> {
     let sign = usize::from(matches!(text.first(), Some(b'-' | b'+')));
     let length =
         sign + text[sign..].iter().take_while(|byte| byte.is_ascii_digit() || **byte == b'.').count();
@@ -37,10 +39,10 @@
     Some((value, &text[length..]))
 }
 
-/// The same but for numbers, which may differ by a part of the greater.
-fn alike(mut a: &[u8], mut b: &[u8], within: f64) -> bool {
+/// Whether the texts are equal except for numbers within the relative tolerance.
+fn equal_within(mut a: &[u8], mut b: &[u8], within: f64) -> bool {
     while !a.is_empty() && !b.is_empty() {
-        match (number(a), number(b)) {
+        match (parse_number(a), parse_number(b)) {
             (Some((x, rest_a)), Some((y, rest_b))) => {
                 if (x - y).abs() > within * x.abs().max(y.abs()) {
                     return false;
@@ -54,35 +56,36 @@
     a.is_empty() && b.is_empty()
 }
 
-/// Times as many answers as may differ: those that the test looks for.
-const TIMES: [f64; 4] = [2.0, 5.0, 20.0, 100.0];
-/// No alternative is a certainty: one equal answer would end it.
-const MOST: f64 = 0.95;
+/// Alternatives that the test considers: multiples of the tolerated share of differing answers.
+const MULTIPLES: [f64; 4] = [2.0, 5.0, 20.0, 100.0];
+/// Highest share of an alternative: at 1, a single equal answer would refute it.
+const MAX_SHARE: f64 = 0.95;
 
-/// The evidence that more answers differ than may: a likelihood ratio for each alternative, averaged. Its mean is one
-/// at most while no more differ.
+/// Evidence that more answers differ than tolerated: the mean of the likelihood ratios of several
+/// alternatives. Its expectation is at most one while no more differ than tolerated.
 #[derive(Clone, Copy, Debug)]
 pub struct Differing {
-    borne: f64,
-    logs: [f64; TIMES.len()],
+    tolerated: f64,
+    logs: [f64; MULTIPLES.len()],
 }
 
 impl Differing {
-    /// No evidence; this part may differ.
-    pub fn new(borne: f64) -> Self {
-        Self { borne, logs: [0.0; TIMES.len()] }
+    /// No evidence yet, with this tolerated share of differing answers.
+    pub fn new(tolerated: f64) -> Self {
+        Self { tolerated, logs: [0.0; MULTIPLES.len()] }
     }
 
-    /// Takes in so many pairs, and those among them that differed.
+    /// Adds pairs of answers, of which `differ` differed.
     pub fn add(&mut self, pairs: u64, differ: u64) {
         let (differ, same) = (differ.min(pairs) as f64, pairs.saturating_sub(differ) as f64);
-        for (log, times) in self.logs.iter_mut().zip(TIMES) {
-            let more = (self.borne * times).min(MOST).max(self.borne);
-            *log += differ * (more / self.borne).ln() + same * ((1.0 - more) / (1.0 - self.borne)).ln();
+        for (log, times) in self.logs.iter_mut().zip(MULTIPLES) {
+            let alternative = (self.tolerated * times).min(MAX_SHARE).max(self.tolerated);
+            *log += differ * (alternative / self.tolerated).ln()
+                + same * ((1.0 - alternative) / (1.0 - self.tolerated)).ln();
         }
     }
 
-    /// One at the start.
+    /// The evidence so far; 1 at the start.
     pub fn evidence(&self) -> f64 {
         mean(&self.logs)
     }
--- a/crates/versions/src/conductor.rs
+++ b/crates/versions/src/conductor.rs
@@ -1,64 +1,65 @@
-//! The operator's side of a shift: sums what the gateways report and says what is ordered next.
+//! The operator's side of a rollout: sums up the reports of the gateways and decides the next order.
 
 use std::collections::BTreeMap;
 
 use crate::{Hold, Judge, Kind, Mark, Micros, Record, Share, Side, Stage, Status, Tally};
 
-/// What is known of a gateway.
+/// Last report of a gateway.
 #[derive(Clone, Debug, Default)]
 pub struct Heard {
-    /// When it last answered.
+    /// When the gateway last answered.
     pub at: Option<Micros>,
-    /// What it said then.
+    /// Its last answer.
     pub status: Option<Status>,
-    /// Why it did not answer since.
+    /// Error of the last request, if it failed.
     pub error: Option<String>,
 }
 
-/// What is to be done.
+/// A request to send.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Act {
-    /// Send the record to these gateways, by position; those not named have it.
+    /// Send the record to the gateways with these indexes, which don't have it yet.
     Order(Vec<usize>),
-    /// Tell these gateways that the record is still conducted.
+    /// Renew the lease of the record at the gateways with these indexes.
     Renew(Vec<usize>),
 }
 
-/// Answers of one version and the other, by class.
+/// Answers of the old and the new version, by class.
 type Answers = BTreeMap<String, [Tally; 2]>;
 
-/// Conducts one plan over its gateways. Reports go in with [`Conductor::heard`]; [`Conductor::turn`] then looks at all
-/// of them together.
+/// Conducts one plan at all its gateways. [`Conductor::heard`] takes their reports; [`Conductor::turn`] then
+/// evaluates all of them together.
 #[derive(Debug)]
 pub struct Conductor {
     record: Record,
-    began: Micros,
+    started_at: Micros,
     gateways: Vec<Heard>,
     judge: Judge,
-    /// By gateway and its life, what was counted at the last turn.
+    /// Counts at the last turn, by gateway and process incarnation.
     counted: BTreeMap<(usize, u64), Answers>,
-    /// Since when all gateways that were to be had are at the record, and answers since, of old and new.
-    settled: Option<Micros>,
-    answers: [u64; 2],
+    /// Since when all reachable gateways apply the record, and the answers of the old and new version since
+    /// then.
+    applied_since: Option<Micros>,
+    step_answers: [u64; 2],
     /// All answers so far.
-    sums: Answers,
-    /// By gateway and its life, pairs of answers compared and those that differed, at the last turn.
+    totals: Answers,
+    /// Compared pairs of answers and differing ones at the last turn, by gateway and process incarnation.
     compared: BTreeMap<(usize, u64), [u64; 2]>,
     overruled: bool,
 }
 
 impl Conductor {
-    /// Conducts this record over so many gateways.
+    /// Conducts this record at this many gateways.
     pub fn new(record: Record, gateways: usize, now: Micros) -> Self {
         Self {
             judge: Judge::new(&record.plan.guard, 1),
-            began: now,
+            started_at: now,
             record,
             gateways: vec![Heard::default(); gateways],
             counted: BTreeMap::new(),
-            settled: None,
-            answers: [0; 2],
-            sums: BTreeMap::new(),
+            applied_since: None,
+            step_answers: [0; 2],
+            totals: BTreeMap::new(),
             compared: BTreeMap::new(),
             overruled: false,
         }
@@ -69,84 +70,85 @@
         &self.record
     }
 
-    /// What is known of each gateway.
+    /// The last report of each gateway.
     pub fn gateways(&self) -> &[Heard] {
         &self.gateways
     }
 
-    /// All answers that were reported, by class and version.
+    /// All reported answers, by class and version.
     pub fn sums(&self) -> &BTreeMap<String, [Tally; 2]> {
-        &self.sums
+        &self.totals
     }
 
-    /// Somebody else ordered something that overrules what was conducted here.
+    /// Whether an order by somebody else has overruled this conductor's.
     pub fn overruled(&self) -> bool {
         self.overruled
     }
 
-    /// Orders the next thing, by whoever asks for it.
+    /// Gives the next order, on behalf of `by`.
     pub fn order(&mut self, kind: Kind, id: u64, at: Micros, by: &str, why: &str) -> Result<(), String> {
         self.record = self.record.then(kind, id, at, by, why)?;
-        (self.settled, self.answers) = (None, [0; 2]);
+        (self.applied_since, self.step_answers) = (None, [0; 2]);
         Ok(())
     }
 
-    /// A gateway answered, or could not be had.
-    pub fn heard(&mut self, gateway: usize, now: Micros, said: Result<Option<Status>, String>) {
+    /// Takes a gateway's answer, or the error of a request to it.
+    pub fn heard(&mut self, gateway: usize, now: Micros, report: Result<Option<Status>, String>) {
         let Some(heard) = self.gateways.get_mut(gateway) else { return };
-        match said {
+        match report {
             Ok(status) => *heard = Heard { at: Some(now), status, error: None },
             Err(error) => heard.error = Some(error),
         }
     }
 
-    fn has(&self, gateway: usize, mark: Mark) -> bool {
+    fn has_record(&self, gateway: usize, mark: Mark) -> bool {
         let status = self.gateways[gateway].status.as_ref();
         status.is_some_and(|status| status.record.mark() == mark)
     }
 
-    /// Whether a gateway can no longer hold anything but the old version, as far as its lease goes.
-    fn lapsed(&self, gateway: usize, now: Micros) -> bool {
+    /// Whether the gateway's lease has certainly expired, so that it gives all calls to the old version.
+    fn lease_expired(&self, gateway: usize, now: Micros) -> bool {
         let (lease, at) = (self.record.plan.lease, self.gateways[gateway].at);
-        // One that was never had may have heard another conductor of this plan just before this one began.
-        lease > 0 && now > at.unwrap_or(self.began).saturating_add(lease)
+        // A gateway that never answered may have heard another conductor of this plan just before this one
+        // started.
+        lease > 0 && now > at.unwrap_or(self.started_at).saturating_add(lease)
     }
 
-    /// Looks at all reports since the last turn. `id` names an order that the guard gives.
+    /// Evaluates all reports since the last turn; `id` is the id of the order that this may give.
     pub fn turn(&mut self, now: Micros, id: u64) -> Vec<Act> {
-        self.adopt();
+        self.adopt_newer();
         self.count(now);
         if !self.record.is_over() {
             self.decide(now, id);
         }
         let mark = self.record.mark();
-        let (have, lack): (Vec<usize>, Vec<usize>) =
-            (0..self.gateways.len()).partition(|gateway| self.has(*gateway, mark));
+        let (present, missing): (Vec<usize>, Vec<usize>) =
+            (0..self.gateways.len()).partition(|gateway| self.has_record(*gateway, mark));
         let mut acts = Vec::new();
-        if !lack.is_empty() {
-            acts.push(Act::Order(lack));
+        if !missing.is_empty() {
+            acts.push(Act::Order(missing));
         }
-        if !have.is_empty() && !self.record.is_over() {
-            acts.push(Act::Renew(have));
+        if !present.is_empty() && !self.record.is_over() {
+            acts.push(Act::Renew(present));
         }
         acts
     }
 
-    /// Takes over what somebody else ordered after us.
-    fn adopt(&mut self) {
-        let said = self.gateways.iter().filter_map(|heard| heard.status.as_ref());
-        let newest = said.map(|status| &status.record).max_by_key(|record| record.mark());
+    /// Adopts an order of somebody else that takes precedence.
+    fn adopt_newer(&mut self) {
+        let statuses = self.gateways.iter().filter_map(|heard| heard.status.as_ref());
+        let newest = statuses.map(|status| &status.record).max_by_key(|record| record.mark());
         if let Some(newest) = newest.filter(|newest| newest.mark() > self.record.mark()) {
             self.record = newest.clone();
             self.overruled = true;
-            (self.settled, self.answers) = (None, [0; 2]);
+            (self.applied_since, self.step_answers) = (None, [0; 2]);
         }
     }
 
     fn count(&mut self, now: Micros) {
-        let mut stretch = Answers::new();
+        let mut added = Answers::new();
         for (at, heard) in self.gateways.iter().enumerate() {
-            // A gateway that still holds an earlier plan tells that one's answers.
+            // The counts of a gateway that still has an earlier plan belong to that plan.
             let Some(status) = &heard.status else { continue };
             if !status.record.plan.is_same(&self.record.plan) {
                 continue;
@@ -154,7 +156,7 @@
             let counted = self.counted.entry((at, status.life)).or_default();
             for (class, both) in &status.answers {
                 let before = counted.get(class).copied().unwrap_or_default();
-                let sum = stretch.entry(class.clone()).or_default();
+                let sum = added.entry(class.clone()).or_default();
                 for side in 0..2 {
                     sum[side] = sum[side].plus(&both[side].since(&before[side]));
                 }
@@ -164,21 +166,23 @@
             let before = self.compared.insert((at, status.life), status.compared).unwrap_or_default();
             self.judge.compared(pairs.saturating_sub(before[0]), differ.saturating_sub(before[1]));
         }
-        let settled = self.settled.is_some_and(|at| now >= at.saturating_add(self.record.plan.guard.settle));
-        for (class, [old, new]) in &stretch {
+        let settled =
+            self.applied_since.is_some_and(|at| now >= at.saturating_add(self.record.plan.guard.settle));
+        for (class, [old, new]) in &added {
             if settled {
                 self.judge.add(class, old, new);
             }
-            if self.settled.is_some() && self.record.plan.guard.classes.contains(class) {
-                let [of_old, of_new] = self.answers;
-                self.answers = [of_old.saturating_add(old.answered), of_new.saturating_add(new.answered)];
+            if self.applied_since.is_some() && self.record.plan.guard.classes.contains(class) {
+                let [old_answers, new_answers] = self.step_answers;
+                self.step_answers =
+                    [old_answers.saturating_add(old.answered), new_answers.saturating_add(new.answered)];
             }
-            let sum = self.sums.entry(class.clone()).or_default();
+            let sum = self.totals.entry(class.clone()).or_default();
             *sum = [sum[0].plus(old), sum[1].plus(new)];
         }
     }
 
-    fn worse(&self) -> Option<String> {
+    fn regression(&self) -> Option<String> {
         self.judge.verdict().map(|worse| worse.to_string())
     }
 
@@ -187,40 +191,41 @@
             Some(Hold::Braked(why)) => Some(format!("{} braked: {why}", heard.status.as_ref()?.gateway)),
             _ => None,
         });
-        if let Some(why) = self.worse().or(braked) {
-            // A record that is not over can always be rolled back.
+        if let Some(why) = self.regression().or(braked) {
+            // This can't fail: a plan that has not ended can always be rolled back.
             _ = self.order(Kind::RollBack, id, now, "guard", &why);
             return;
         }
         let (mark, share) = (self.record.mark(), self.record.share());
         let in_force = |gateway: &usize| {
-            let there = self.gateways[*gateway].status.as_ref().is_some_and(|status| status.share == share);
-            (self.has(*gateway, mark) && there && self.gateways[*gateway].error.is_none())
-                || self.lapsed(*gateway, now)
+            let share_applied =
+                self.gateways[*gateway].status.as_ref().is_some_and(|status| status.share == share);
+            (self.has_record(*gateway, mark) && share_applied && self.gateways[*gateway].error.is_none())
+                || self.lease_expired(*gateway, now)
         };
         let all = (0..self.gateways.len()).all(|gateway| in_force(&gateway));
-        let some = (0..self.gateways.len()).any(|gateway| self.has(gateway, mark));
+        let some = (0..self.gateways.len()).any(|gateway| self.has_record(gateway, mark));
         if !all || !some {
-            self.settled = self.settled.filter(|_| some);
+            self.applied_since = self.applied_since.filter(|_| some);
             return;
         }
-        let since = *self.settled.get_or_insert(now);
+        let since = *self.applied_since.get_or_insert(now);
         let Stage::Step(at) = self.record.stage else { return };
         let step = self.record.plan.steps[at];
-        // A step that heard little of either version has compared nothing; at all calls there is no old one to hear.
+        // A step needs enough answers of both versions to compare; at a share of 100% the old one has none.
         let least = self.record.plan.guard.least;
-        let [old, new] = self.answers;
+        let [old, new] = self.step_answers;
         let enough = new >= least && (old >= least || share == Share::ALL);
         if self.record.paused || !enough || now < since.saturating_add(step.hold) {
             return;
         }
         let last = at + 1 == self.record.plan.steps.len();
         self.judge.close();
-        if let Some(why) = self.worse() {
+        if let Some(why) = self.regression() {
             _ = self.order(Kind::RollBack, id, now, "guard", &why);
             return;
         }
-        // The last step of a plan that ends below all calls is held: to promote is for a person to say.
+        // A last step below 100% stays in force until a person promotes the new version.
         if !last || share == Share::ALL {
             let kind = if last { Kind::Promote } else { Kind::Widen };
             let routed = self.record.plan.routed(Side::New);
--- a/crates/versions/src/lib.rs
+++ b/crates/versions/src/lib.rs
@@ -1,16 +1,19 @@
-//! Versions of functions: which call runs which, and how a new one takes over from an old one, step by step.
+//! Versions of functions: which call runs which version, and the stepwise rollout of a new version.
 //!
-//! Free of I/O and clock; what is to be written, sent or loaded is told to the caller.
+//! The crate does no I/O and reads no clock; it tells the caller what to write, send or load.
 //!
-//! - [`choose`](Versions::choose): each call is given one version when it arrives, by a keyed hash of what it sticks
-//!   to; all gateways agree without talk, and a wider share only moves callers from the old version to the new.
-//! - [`Record`]: an order and all that it means, under an epoch. Of two records the one with the greater [`Mark`]
-//!   holds, at every gateway, in whatever order they come.
-//! - [`Versions`]: what one gateway knows. A record is weighed, written by the caller, and only then acted on.
-//! - [`Judge`]: compares the versions' answers as they come, with a stated rate of false alarms.
-//! - [`Conductor`]: the operator's side: sums what the gateways report, widens, promotes or rolls back.
+//! - [`choose`](Versions::choose): assigns each call a version when it arrives, by a keyed hash of its
+//!   affinity key. All gateways choose alike without communication, and a greater share only moves callers
+//!   from the old version to the new one.
+//! - [`Record`]: an order and the complete state that results from it, under an epoch. Of two records the one
+//!   with the greater [`Mark`] holds at every gateway, in whatever order they arrive.
+//! - [`Versions`]: the state of one gateway. It compares a record with its own, the caller writes it to disk,
+//!   and only then the gateway acts on it.
+//! - [`Judge`]: compares the versions' answers as they arrive, with a bounded rate of false alarms.
+//! - [`Conductor`]: the operator's side, a rollout controller: sums up the gateways' reports, and widens,
+//!   promotes or rolls back.
 //!
-//! `docs/VERSIONS.md` weighs the ways that were not taken.
+//! `docs/VERSIONS.md` discusses the alternatives.
 
 mod choice;
 mod compare;
@@ -21,7 +24,7 @@
 mod rollout;
 mod wire;
 
-/// Spans and instants in microseconds.
+/// Durations and points in time in microseconds.
 pub type Micros = u64;
 
 pub use choice::{Callers, Share, Stick, point};
--- a/crates/versions/src/plan.rs
+++ b/crates/versions/src/plan.rs
@@ -1,4 +1,4 @@
-//! A plan: from which version to which, in what steps, under which guards.
+//! Rollout plans: the two versions, the steps and the guard.
 
 use std::collections::BTreeSet;
 
@@ -6,88 +6,90 @@
 
 use crate::{Compare, Micros, Share, Stick};
 
-/// Most steps of a plan, and most classes of a guard.
+/// Maximum number of steps of a plan; a guard has as many classes at most.
 pub const MOST_STEPS: usize = 100;
-const MOST_CLASSES: usize = 100;
-/// Longest name: with `function@version` in one field of a frame.
-const MOST_NAME: usize = 200;
+const MAX_CLASSES: usize = 100;
+/// Longest name: `function@version` must fit one field of a frame.
+const MAX_NAME: usize = 200;
 
 /// One of a plan's two versions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Side {
-    /// The one that ran before.
+    /// The current version.
     Old,
-    /// The one that takes over.
+    /// The version that replaces it.
     New,
 }
 
-/// How wide, and for how long at least.
+/// A step of a plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Step {
-    /// The new version's part of the calls.
+    /// The new version's share of the calls.
     pub share: Share,
-    /// The next step comes no earlier.
+    /// Minimum duration of the step.
     pub hold: Micros,
 }
 
-/// When the new version is held to be worse than the old.
+/// Criteria by which the new version is considered worse than the old one.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Guard {
     /// The classes whose answers are compared.
     pub classes: Vec<String>,
-    /// The chance that a version which is no worse is pulled back, over the whole plan.
+    /// Probability that a version that is no worse is rolled back, over the whole plan.
     pub false_alarm: f64,
-    /// The odds of an error or a late answer may be so many times the old version's.
+    /// Tolerated odds ratio of an error or a late answer, new version to old.
     pub worse: f64,
-    /// Answers of each version that a step needs before the next; at all calls, of the new one.
+    /// Answers of each version that a step requires before the next one; at a share of 100%, of the new
+    /// version only.
     pub least: u64,
-    /// After a step answers are not compared for so long: what the step itself causes has passed then.
+    /// After a step, answers are ignored for this time, until transient effects of the step itself are over.
     pub settle: Micros,
-    /// Answers of both versions to the same calls are compared; `None`: not.
+    /// How answers of both versions to the same calls are compared, if they are.
     #[serde(default)]
     pub compare: Option<Compare>,
 }
 
 impl Guard {
-    /// A guard over these classes with a false alarm of 1 in 100 and odds of 1.5, which judges from the first answer on
-    /// and compares no answers to the same calls.
+    /// A guard over these classes with a false alarm rate of 1 in 100 and a tolerated odds ratio of 1.5. It
+    /// evaluates answers from the first one on, and compares no answers to the same calls.
     pub fn new(classes: Vec<String>) -> Self {
         Self { classes, false_alarm: 0.01, worse: 1.5, least: 0, settle: 0, compare: None }
     }
 }
 
-/// A plan.
+/// A rollout plan.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
-    /// The function, as clients call it.
+    /// Name of the function as clients call it.
     pub function: String,
-    /// The version that runs; empty: the function under its own name.
+    /// The current version; empty: the function under its plain name.
     pub old: String,
-    /// The version to come.
+    /// The new version.
     pub new: String,
-    /// What workers must say that the old version's bytes are; empty: not checked.
+    /// Digest that workers must report for the old version; empty: not checked.
     pub old_digest: String,
-    /// What workers must say that the new version's bytes are; empty: not checked.
+    /// Digest that workers must report for the new version; empty: not checked.
     pub new_digest: String,
-    /// What a caller's version sticks to.
+    /// Affinity of versions.
     pub stick: Stick,
-    /// Keys the hash.
+    /// Key of the hash that assigns versions.
     pub salt: [u64; 2],
     /// The steps, in order.
     pub steps: Vec<Step>,
     /// The guard.
     pub guard: Guard,
-    /// A gateway that hears nothing for so long goes back to the old version; 0: never.
+    /// A gateway that hears nothing of the order for this time returns to the old version; 0: never.
     pub lease: Micros,
-    /// A share rises once the new version stands loaded, or after this if no load of it failed.
+    /// The share grows once the new version is loaded, or after this time if no load of it failed.
     pub preload: Micros,
-    /// After the last step or the promotion the old version is kept loaded for so long.
+    /// How long the old version is kept loaded after the last step or the promotion.
     pub keep_old: Micros,
 }
 
 impl Plan {
-    /// A plan without steps and times: no digests are checked, versions stick to accounts, nothing is compared.
+    /// A plan without steps and times, which checks no digests, assigns versions by account and compares
+    /// nothing.
     pub fn new(function: &str, old: &str, new: &str, salt: [u64; 2]) -> Self {
         Self {
             function: function.into(),
@@ -105,29 +107,29 @@
         }
     }
 
-    /// Whether two records are of one plan: the same versions, and the same callers to each.
+    /// Whether both records belong to one plan: the same versions and the same assignment of callers.
     pub fn is_same(&self, other: &Self) -> bool {
         let of = |plan: &Self| (plan.function.clone(), plan.old.clone(), plan.new.clone(), plan.salt);
         of(self) == of(other)
     }
 
-    /// The name under which one of its versions is routed and loaded.
+    /// Name under which a version is routed and loaded.
     pub fn routed(&self, side: Side) -> String {
         let version = self.version(side);
         if version.is_empty() { self.function.clone() } else { format!("{}@{version}", self.function) }
     }
 
-    /// One of its versions.
+    /// Name of a version.
     pub fn version(&self, side: Side) -> &str {
         if side == Side::Old { &self.old } else { &self.new }
     }
 
-    /// The digest that one of its versions must have; empty: any.
+    /// Required digest of a version; empty: any.
     pub fn digest(&self, side: Side) -> &str {
         if side == Side::Old { &self.old_digest } else { &self.new_digest }
     }
 
-    /// All that is wrong with it, each in a sentence that names the part.
+    /// All errors in the plan, each as a sentence that names the part.
     pub fn faults(&self) -> Vec<String> {
         let mut faults = Vec::new();
         let mut must = |holds: bool, what: String| faults.extend((!holds).then_some(what));
@@ -135,10 +137,10 @@
         for (part, name, needed) in parts {
             must(!needed || !name.is_empty(), format!("{part} is empty"));
             must(!name.contains('@'), format!("{part} = {name:?}: an @ stands between function and version"));
-            must(name.len() <= MOST_NAME, format!("{part} has more than {MOST_NAME} bytes"));
+            must(name.len() <= MAX_NAME, format!("{part} has more than {MAX_NAME} bytes"));
         }
         for (part, digest) in [("old_digest", &self.old_digest), ("new_digest", &self.new_digest)] {
-            must(digest.len() <= MOST_NAME, format!("{part} has more than {MOST_NAME} bytes"));
+            must(digest.len() <= MAX_NAME, format!("{part} has more than {MAX_NAME} bytes"));
         }
         must(self.old != self.new, format!("old and new are both {:?}", self.old));
         must(!self.steps.is_empty(), "there are no steps".into());
@@ -156,10 +158,7 @@
         }
         let guard = &self.guard;
         must(!guard.classes.is_empty(), "the guard names no class: nothing would ever be compared".into());
-        must(
-            guard.classes.len() <= MOST_CLASSES,
-            format!("the guard names more than {MOST_CLASSES} classes"),
-        );
+        must(guard.classes.len() <= MAX_CLASSES, format!("the guard names more than {MAX_CLASSES} classes"));
         let different = guard.classes.iter().collect::<BTreeSet<_>>().len();
         must(different == guard.classes.len(), "the guard names a class twice".into());
         let alarm = guard.false_alarm;
--- a/crates/versions/src/record.rs
+++ b/crates/versions/src/record.rs
@@ -1,29 +1,29 @@
-//! Orders under epochs.
+//! Orders and their epochs.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Micros, Plan, Share};
 
-/// What an operator asked for.
+/// Kind of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// Begin a plan.
+    /// Start a plan.
     Start,
     /// Go to the next step.
     Widen,
     /// Stay at this step.
     Pause,
-    /// Go on.
+    /// Continue after a pause.
     Resume,
-    /// The new version takes all calls, for good.
+    /// Give the new version all calls, and end the plan.
     Promote,
-    /// The old version takes all calls again.
+    /// Return all calls to the old version, and end the plan.
     RollBack,
 }
 
 impl Kind {
-    /// In a word.
+    /// The order as one word.
     pub fn word(self) -> &'static str {
         match self {
             Self::Start => "start",
@@ -36,11 +36,11 @@
     }
 }
 
-/// How far a plan has come.
+/// Progress of a plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Stage {
-    /// At this step, from 0.
+    /// At the step with this index.
     Step(usize),
     /// The new version has all calls.
     Promoted,
@@ -48,53 +48,53 @@
     RolledBack,
 }
 
-/// An order with all that it means: who has it needs none of those before it.
+/// An order together with the complete resulting state, independent of all earlier records.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
     /// The plan.
     pub plan: Plan,
-    /// Counts the orders on the function, over all plans.
+    /// Number of the order on this function, counted over all plans.
     pub epoch: u64,
-    /// Drawn by whoever ordered; tells a repeat of the order from another one.
+    /// Random id of the order; tells a repeat of it from another order with the same epoch.
     pub id: u64,
     /// What was ordered.
     pub kind: Kind,
-    /// How far the plan has come by it.
+    /// Stage of the plan after the order.
     pub stage: Stage,
-    /// The plan stays where it is until somebody says otherwise.
+    /// Whether the plan stays at this step until another order.
     pub paused: bool,
-    /// Who ordered it.
+    /// Who gave the order.
     pub by: String,
-    /// Why.
+    /// The reason.
     pub why: String,
-    /// When, by the clock of whoever ordered.
+    /// When, by the clock of the one who gave the order.
     pub at: Micros,
 }
 
-/// The order of records: the greater holds. At one epoch the more cautious wins, so that of two operators who
-/// order opposite things at once the one who pulls back does.
+/// Precedence of records: the greatest holds. Within one epoch the more cautious order wins, so that a
+/// rollback prevails if two operators give opposite orders at the same time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Mark {
-    /// From the record.
+    /// Epoch of the record.
     pub epoch: u64,
-    /// Grows as the share shrinks; a pause is more cautious than none, a rollback more than anything.
+    /// Greater for a smaller share; at equal shares a pause is more cautious, and a rollback more than that.
     pub caution: u32,
-    /// From the record.
+    /// Id of the record.
     pub id: u64,
 }
 
-/// Longest `by` and `why`.
-const MOST_WORDS: usize = 300;
+/// Longest `by` and `why`, in bytes.
+const MAX_TEXT: usize = 300;
 
 impl Record {
-    /// Its place among the records of its function.
+    /// Precedence among the records of its function.
     pub fn mark(&self) -> Mark {
         let left = u32::from(Share::ALL.ten_thousandths() - self.share().ten_thousandths());
         let back = u32::from(self.stage == Stage::RolledBack);
         Mark { epoch: self.epoch, caution: 4 * left + 2 * back + u32::from(self.paused), id: self.id }
     }
 
-    /// The new version's part of the calls, if nothing speaks against it.
+    /// Share of the new version, unless a gateway deviates from it.
     pub fn share(&self) -> Share {
         match self.stage {
             Stage::Step(at) => self.plan.steps.get(at).map_or(Share::NONE, |step| step.share),
@@ -103,19 +103,19 @@
         }
     }
 
-    /// Whether the plan has come to its end.
+    /// Whether the plan has ended.
     pub fn is_over(&self) -> bool {
         !matches!(self.stage, Stage::Step(_))
     }
 
-    /// The next record after this one.
+    /// The record of the next order after this one.
     pub fn then(&self, kind: Kind, id: u64, at: Micros, by: &str, why: &str) -> Result<Self, String> {
         let (function, step) = (&self.plan.function, self.stage);
         let done =
             |word: &str| Err(format!("{function}: the plan is {word} already, at epoch {}", self.epoch));
         let stage = match (kind, step) {
             (Kind::Start, _) => return Err("a plan starts with a record of its own".into()),
-            // Either way may be taken back as long as no other plan has begun.
+            // Any stage can be rolled back, even a promotion, while no other plan has started.
             (Kind::RollBack, _) => Stage::RolledBack,
             (_, Stage::Promoted) => return done("promoted"),
             (_, Stage::RolledBack) => return done("rolled back"),
@@ -129,7 +129,7 @@
         Ok(Self { plan: self.plan.clone(), epoch: self.epoch + 1, id, kind, stage, paused, by, why, at })
     }
 
-    /// The first record of a plan, after what was known of its function.
+    /// The first record of a plan, given the last known record of its function.
     pub fn start(
         plan: Plan,
         before: Option<&Self>,
@@ -165,15 +165,15 @@
         Ok(Self { plan, epoch, id, kind, stage, paused: false, by, why, at })
     }
 
-    /// All that is wrong with it.
+    /// All errors in the record.
     pub fn faults(&self) -> Vec<String> {
         let mut faults = self.plan.faults();
         if matches!(self.stage, Stage::Step(at) if at >= self.plan.steps.len()) {
             faults.push(format!("{:?} of a plan with {} steps", self.stage, self.plan.steps.len()));
         }
         for (part, words) in [("by", &self.by), ("why", &self.why)] {
-            if words.len() > MOST_WORDS {
-                faults.push(format!("{part} has more than {MOST_WORDS} bytes"));
+            if words.len() > MAX_TEXT {
+                faults.push(format!("{part} has more than {MAX_TEXT} bytes"));
             }
         }
         faults
--- a/crates/versions/src/rollout.rs
+++ b/crates/versions/src/rollout.rs
@@ -1,4 +1,4 @@
-//! What one gateway knows of versions, and does about them.
+//! State of all rollouts at one gateway.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,138 +8,139 @@
     Callers, Compare, End, Judge, Mark, Micros, Plan, Record, Share, Side, Stage, Status, Tally, point,
 };
 
-/// Most functions that have a plan.
-const MOST_FUNCTIONS: usize = 10_000;
-/// Most different digests of a version that are told apart.
-const MOST_DIGESTS: usize = 16;
-/// How often own figures are judged.
+/// Maximum number of functions with a plan.
+const MAX_FUNCTIONS: usize = 10_000;
+/// Maximum number of digests that are counted per version.
+const MAX_DIGESTS: usize = 16;
+/// How often a gateway judges by its own counts.
 pub const LOOK_EVERY: Micros = 1_000_000;
 
-/// What a call is given when it arrives.
+/// The version that a call gets when it arrives.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Chosen {
-    /// The name under which it is routed.
+    /// Name under which the call is routed.
     pub routed: String,
-    /// What the worker must say that it ran; empty: not checked.
+    /// Digest that the worker must report; empty: not checked.
     pub digest: String,
-    /// Which of the plan's versions.
+    /// Which of the plan's versions it is.
     pub side: Side,
 }
 
-/// Why a gateway does not do as its record says.
+/// Why a gateway deviates from the share in its record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Hold {
-    /// The new version is being loaded; the share is what it was before.
+    /// The new version is being loaded; the previous share stays in force.
     Loading,
-    /// All loads of the new version failed; the share is what it was before.
+    /// All loads of the new version failed; the previous share stays in force.
     LoadsFail,
-    /// Nothing was heard for longer than the lease; the old version takes all calls.
+    /// Nothing was heard for longer than the lease; the old version gets all calls.
     Lapsed,
-    /// Own figures speak against the new version, in words; the old one takes all calls.
+    /// The gateway's own counts show that the new version is worse, for the reason given; the old version
+    /// gets all calls.
     Braked(String),
 }
 
-/// What a record is against the one that is held.
+/// How an incoming record relates to the one in force.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Weight {
-    /// To be written, and then acted on.
+    /// Newer: to be written to disk and then acted on.
     Newer,
-    /// Held already.
+    /// The one in force.
     Same,
-    /// Overruled by what is held.
+    /// Superseded by the one in force.
     Older,
-    /// Not to be taken at all.
+    /// Invalid, with the reason.
     Wrong(String),
 }
 
-/// A function that is to be kept loaded, though few or none call it now.
+/// A function to keep loaded although it gets few calls or none now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Expected {
-    /// The function, as routed.
+    /// Routed name of the function.
     pub function: String,
-    /// Its twin, whose calls it would get.
+    /// Routed name of the other version, whose calls it may have to take over.
     pub like: String,
 }
 
-/// One function.
+/// State of one function.
 #[derive(Debug)]
 struct Rollout {
     record: Record,
-    /// Since when the record is acted on.
-    since: Micros,
-    /// When the conductor was last heard.
-    heard: Micros,
-    /// The share in force when the record came.
-    before: Share,
+    /// When the record came into force.
+    applied_at: Micros,
+    /// When the conductor was last heard of.
+    conductor_heard: Micros,
+    /// Share in force before the record.
+    previous_share: Share,
     braked: Option<String>,
-    /// The new version was seen standing; a load of it failed.
-    stood: bool,
-    failed: bool,
+    /// Whether the new version has been loaded somewhere, and whether a load of it failed before that.
+    loaded: bool,
+    load_failed: bool,
     judge: Judge,
-    judged: Micros,
-    seen: BTreeMap<String, [Tally; 2]>,
+    judged_at: Micros,
+    judged_answers: BTreeMap<String, [Tally; 2]>,
     answers: BTreeMap<String, [Tally; 2]>,
     ran: BTreeMap<String, BTreeMap<String, u64>>,
     wrong: u64,
     compared: [u64; 2],
-    compared_seen: [u64; 2],
+    judged_compared: [u64; 2],
 }
 
 impl Rollout {
     fn share(&self, now: Micros) -> (Share, Option<Hold>) {
-        let goal = self.record.share();
+        let target = self.record.share();
         if self.record.is_over() {
-            return (goal, None);
+            return (target, None);
         }
         if let Some(why) = &self.braked {
             return (Share::NONE, Some(Hold::Braked(why.clone())));
         }
         let lease = self.record.plan.lease;
-        if lease > 0 && now > self.heard.saturating_add(lease) {
+        if lease > 0 && now > self.conductor_heard.saturating_add(lease) {
             return (Share::NONE, Some(Hold::Lapsed));
         }
-        let waited = now >= self.since.saturating_add(self.record.plan.preload);
-        if goal <= self.before || self.stood || (waited && !self.failed) {
-            return (goal, None);
+        let waited = now >= self.applied_at.saturating_add(self.record.plan.preload);
+        if target <= self.previous_share || self.loaded || (waited && !self.load_failed) {
+            return (target, None);
         }
-        (self.before, Some(if self.failed { Hold::LoadsFail } else { Hold::Loading }))
+        (self.previous_share, Some(if self.load_failed { Hold::LoadsFail } else { Hold::Loading }))
     }
 }
 
-/// All functions with a plan, at one gateway.
+/// All functions with a plan at one gateway.
 #[derive(Debug)]
 pub struct Versions {
     gateway: String,
     life: u64,
-    /// Gateways that judge by their own figures, this one included.
+    /// Number of gateways that judge by their own counts, including this one.
     gateways: u32,
     rollouts: BTreeMap<String, Rollout>,
-    /// From a routed name to its function.
+    /// Functions by the routed names of their versions.
     routed: BTreeMap<String, BTreeSet<String>>,
 }
 
 impl Versions {
-    /// Nothing is known. `life` tells this start from all others.
+    /// Without any plan. `life` is unique to this process incarnation.
     pub fn new(gateway: &str, life: u64, gateways: u32) -> Self {
         Self { gateway: gateway.into(), life, gateways, rollouts: BTreeMap::new(), routed: BTreeMap::new() }
     }
 
-    /// Whether no function has a plan: then nothing else need be asked.
+    /// Whether no function has a plan, so that calls need no further lookup.
     pub fn is_empty(&self) -> bool {
         self.rollouts.is_empty()
     }
 
-    /// What a record that came is against what is held. One that is [`Weight::Newer`] is to be written before
-    /// [`Versions::act`] gets it.
+    /// Compares an incoming record with the one in force. The caller writes a [`Weight::Newer`] record to
+    /// disk before it passes it to [`Versions::act`].
     pub fn weigh(&self, record: &Record) -> Weight {
         let faults = record.faults();
         if !faults.is_empty() {
             return Weight::Wrong(faults.join("; "));
         }
         match self.rollouts.get(&record.plan.function) {
-            None if self.rollouts.len() >= MOST_FUNCTIONS => {
-                Weight::Wrong(format!("{MOST_FUNCTIONS} functions have plans already"))
+            None if self.rollouts.len() >= MAX_FUNCTIONS => {
+                Weight::Wrong(format!("{MAX_FUNCTIONS} functions have plans already"))
             }
             None => Weight::Newer,
             Some(rollout) => match record.mark().cmp(&rollout.record.mark()) {
@@ -150,76 +151,88 @@
         }
     }
 
-    /// Acts on a record that was written. One that is not newer changes nothing.
+    /// Puts a record into force that was written to disk. Has no effect if the record is not newer.
     pub fn act(&mut self, now: Micros, record: Record) {
         self.restore(now, now, record, None);
     }
 
-    /// Acts on a record that was read back: when its conductor was last heard, and whether this gateway had braked.
+    /// Puts a record into force that was read from disk, with the time when its conductor was last heard of
+    /// and the reason if this gateway had found the new version to be worse.
     pub fn restore(&mut self, now: Micros, heard: Micros, record: Record, braked: Option<String>) {
         if self.weigh(&record) != Weight::Newer {
             return;
         }
         let function = record.plan.function.clone();
         let held = self.rollouts.remove(&function);
-        let twin = held.filter(|held| held.record.plan.is_same(&record.plan));
+        let same_plan = held.filter(|held| held.record.plan.is_same(&record.plan));
         for side in [Side::Old, Side::New] {
             self.routed.entry(record.plan.routed(side)).or_default().insert(function.clone());
         }
         let judge = || Judge::new(&record.plan.guard, self.gateways);
-        // A clock that was set back is no reason to hold on for longer.
+        // If the clock was set back, the lease must not last longer for it.
         let heard = heard.min(now);
-        let rollout = match twin {
-            Some(twin) => {
-                let before = twin.share(now).0;
-                // What was learned of the versions stays true over the steps of one plan.
-                Rollout { record, since: now, heard, before, braked, ..twin }
+        let rollout = match same_plan {
+            Some(same_plan) => {
+                let previous_share = same_plan.share(now).0;
+                // Counts and evidence stay valid through the steps of one plan.
+                Rollout {
+                    record,
+                    applied_at: now,
+                    conductor_heard: heard,
+                    previous_share,
+                    braked,
+                    ..same_plan
+                }
             }
             None => Rollout {
                 judge: judge(),
                 record,
-                since: now,
-                heard,
-                before: Share::NONE,
+                applied_at: now,
+                conductor_heard: heard,
+                previous_share: Share::NONE,
                 braked,
-                stood: false,
-                failed: false,
-                judged: now,
-                seen: BTreeMap::new(),
+                loaded: false,
+                load_failed: false,
+                judged_at: now,
+                judged_answers: BTreeMap::new(),
                 answers: BTreeMap::new(),
                 ran: BTreeMap::new(),
                 wrong: 0,
                 compared: [0; 2],
-                compared_seen: [0; 2],
+                judged_compared: [0; 2],
             },
         };
         self.rollouts.insert(function, rollout);
     }
 
-    /// The conductor of this very record was heard; true if that is the one held.
+    /// Renews the lease of the record with this mark; returns whether that record is in force.
     pub fn renew(&mut self, now: Micros, function: &str, mark: Mark) -> bool {
         let rollout = self.rollouts.get_mut(function).filter(|rollout| rollout.record.mark() == mark);
-        rollout.map(|rollout| rollout.heard = now).is_some()
+        rollout.map(|rollout| rollout.conductor_heard = now).is_some()
     }
 
-    /// When the conductor of a function was last heard.
+    /// The record of a function, when its conductor was last heard of, and why this gateway stopped the new
+    /// version.
     pub fn heard(&self, function: &str) -> Option<(&Record, Micros, Option<&str>)> {
-        self.rollouts.get(function).map(|rollout| (&rollout.record, rollout.heard, rollout.braked.as_deref()))
+        self.rollouts
+            .get(function)
+            .map(|rollout| (&rollout.record, rollout.conductor_heard, rollout.braked.as_deref()))
     }
 
-    /// The one version that a call gets, as it arrives. `None`: the function has no versions.
+    /// Assigns a version to an arriving call. `None`: the function has no versions.
     pub fn choose(&self, now: Micros, function: &str, callers: &Callers) -> Option<Chosen> {
         let rollout = self.rollouts.get(function)?;
         let (plan, share) = (&rollout.record.plan, rollout.share(now).0);
-        let takes = match plan.stick.key(callers) {
+        let gets_new = match plan.stick.key(callers) {
             Some(key) => share.takes(point(plan.salt, key)),
             None => share == Share::ALL,
         };
-        let side = if takes { Side::New } else { Side::Old };
+        let side = if gets_new { Side::New } else { Side::Old };
         Some(Chosen { routed: plan.routed(side), digest: plan.digest(side).into(), side })
     }
 
-    /// A call that was given a version has its final answer; `erred`: one of its attempts ended in an error.
+    /// Counts the final answer to a call with an assigned version; `erred`: an attempt of it ended in an
+    /// error.
     pub fn answered(&mut self, function: &str, side: Side, class: &str, end: End, erred: bool) {
         let Some(rollout) = self.rollouts.get_mut(function) else { return };
         if !rollout.answers.contains_key(class) {
@@ -231,16 +244,16 @@
         tally.errors += u64::from(end == End::NotServed);
         tally.late += u64::from(end == End::Late);
         tally.erred += u64::from(end == End::NotServed || erred);
-        rollout.stood |= end != End::NotServed && side == Side::New;
+        rollout.loaded |= end != End::NotServed && side == Side::New;
     }
 
-    /// How answers of a function's versions are compared, and where the choice of calls comes from.
+    /// How answers of both versions are compared, with the plan that has the key for choosing the calls.
     pub fn compare(&self, function: &str) -> Option<(&Plan, Compare)> {
         let plan = &self.rollouts.get(function)?.record.plan;
         plan.guard.compare.map(|compare| (plan, compare))
     }
 
-    /// Both versions answered the same call.
+    /// Counts a call that both versions answered.
     pub fn compared(&mut self, function: &str, same: bool) {
         if let Some(rollout) = self.rollouts.get_mut(function) {
             rollout.compared[0] += 1;
@@ -248,72 +261,74 @@
         }
     }
 
-    /// A worker's word for what it ran, and whether that was what it was asked for.
+    /// Counts an answer by what the worker reports to have run; `wrong`: it differs from what was requested.
     pub fn ran(&mut self, function: &str, routed: &str, digest: &str, wrong: bool) {
         let Some(rollout) = self.rollouts.get_mut(function) else { return };
         rollout.wrong += u64::from(wrong);
         let digests = rollout.ran.entry(routed.into()).or_default();
-        if digests.len() < MOST_DIGESTS || digests.contains_key(digest) {
+        if digests.len() < MAX_DIGESTS || digests.contains_key(digest) {
             *digests.entry(digest.into()).or_default() += 1;
         }
     }
 
-    /// A load order for a function, as routed, was answered.
-    pub fn loaded(&mut self, routed: &str, stands: bool) {
+    /// A prewarm order for a routed name was answered; `is_loaded`: an instance is loaded.
+    pub fn loaded(&mut self, routed: &str, is_loaded: bool) {
         for function in self.routed.get(routed).into_iter().flatten() {
             let Some(rollout) = self.rollouts.get_mut(function) else { continue };
             if rollout.record.plan.routed(Side::New) == routed {
-                rollout.stood |= stands;
-                rollout.failed = !stands && !rollout.stood;
+                rollout.loaded |= is_loaded;
+                rollout.load_failed = !is_loaded && !rollout.loaded;
             }
         }
     }
 
-    /// Functions that are to be kept loaded beyond what their calls ask for: the new version before its share rises,
-    /// the old one while a rollback may need it.
+    /// Functions to keep loaded beyond the demand of their calls: the new version before its share grows, and
+    /// the old one while a rollback is possible.
     pub fn expected(&self, now: Micros) -> Vec<Expected> {
         let mut expected = Vec::new();
         for rollout in self.rollouts.values() {
             let plan = &rollout.record.plan;
             let (old, new) = (plan.routed(Side::Old), plan.routed(Side::New));
-            let young = now < rollout.since.saturating_add(plan.keep_old);
-            let is = |function: &String, like: &String| Expected {
+            let recent = now < rollout.applied_at.saturating_add(plan.keep_old);
+            let keep = |function: &String, like: &String| Expected {
                 function: function.clone(),
                 like: like.clone(),
             };
             match rollout.record.stage {
                 Stage::RolledBack => {}
-                Stage::Promoted if young => expected.push(is(&old, &new)),
+                Stage::Promoted if recent => expected.push(keep(&old, &new)),
                 Stage::Promoted => {}
                 Stage::Step(_) => match rollout.share(now) {
                     (_, Some(Hold::Lapsed | Hold::Braked(_))) => {}
-                    (Share::ALL, _) => expected.push(is(&old, &new)),
-                    _ => expected.push(is(&new, &old)),
+                    (Share::ALL, _) => expected.push(keep(&old, &new)),
+                    _ => expected.push(keep(&new, &old)),
                 },
             }
         }
         expected
     }
 
-    /// Judges by own figures, if it is time to. A function that is told braked at once; the caller writes that down.
+    /// Judges by this gateway's own counts if it is time to. A returned function gets the old version from
+    /// now on; the caller writes that to disk.
     pub fn look(&mut self, now: Micros) -> Vec<String> {
         let mut braked = Vec::new();
         for (function, rollout) in &mut self.rollouts {
-            if rollout.record.is_over() || rollout.braked.is_some() || now < rollout.judged + LOOK_EVERY {
+            if rollout.record.is_over() || rollout.braked.is_some() || now < rollout.judged_at + LOOK_EVERY {
                 continue;
             }
-            rollout.judged = now;
-            let settled = now >= rollout.since.saturating_add(rollout.record.plan.guard.settle);
+            rollout.judged_at = now;
+            let settled = now >= rollout.applied_at.saturating_add(rollout.record.plan.guard.settle);
             for (class, [old, new]) in &rollout.answers {
-                let [seen_old, seen_new] = rollout.seen.get(class).copied().unwrap_or_default();
+                let [judged_old, judged_new] = rollout.judged_answers.get(class).copied().unwrap_or_default();
                 if settled {
-                    rollout.judge.add(class, &old.since(&seen_old), &new.since(&seen_new));
+                    rollout.judge.add(class, &old.since(&judged_old), &new.since(&judged_new));
                 }
             }
-            rollout.seen = rollout.answers.clone();
+            rollout.judged_answers = rollout.answers.clone();
             let [pairs, differ] = rollout.compared;
-            let [pairs_seen, differ_seen] = std::mem::replace(&mut rollout.compared_seen, rollout.compared);
-            rollout.judge.compared(pairs - pairs_seen, differ - differ_seen);
+            let [judged_pairs, judged_differ] =
+                std::mem::replace(&mut rollout.judged_compared, rollout.compared);
+            rollout.judge.compared(pairs - judged_pairs, differ - judged_differ);
             if let Some(worse) = rollout.judge.verdict() {
                 rollout.braked = Some(worse.to_string());
                 braked.push(function.clone());
@@ -322,7 +337,7 @@
         braked
     }
 
-    /// What holds for one function, or for all.
+    /// The state of one function or of all.
     pub fn status(&self, now: Micros, function: Option<&str>) -> Vec<Status> {
         let wanted = |name: &&String| function.is_none_or(|function| function == *name);
         let rollouts = self.rollouts.iter().filter(|(name, _)| wanted(name)).map(|(_, rollout)| rollout);
@@ -334,7 +349,7 @@
                 record: rollout.record.clone(),
                 share,
                 hold,
-                unheard: now.saturating_sub(rollout.heard),
+                unheard: now.saturating_sub(rollout.conductor_heard),
                 answers: rollout.answers.clone(),
                 ran: rollout.ran.clone(),
                 wrong: rollout.wrong,
--- a/crates/versions/src/wire.rs
+++ b/crates/versions/src/wire.rs
@@ -1,4 +1,4 @@
-//! What the operator's tool asks a gateway, and what it hears.
+//! Requests of the operator's tool to a gateway, and the replies.
 
 use std::collections::BTreeMap;
 
@@ -6,23 +6,24 @@
 
 use crate::{Hold, Mark, Micros, Record, Share};
 
-/// Answers of one version to calls of one class.
+/// Counts of one version's answers to calls of one class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tally {
     /// Final answers.
     pub answered: u64,
-    /// Those that were not served.
+    /// Answers to calls that were not served.
     pub errors: u64,
-    /// Those that were served beyond the class's aim.
+    /// Answers to calls that were served after the class's latency objective.
     pub late: u64,
-    /// Those that were not served, or served by a further attempt after the function had failed.
+    /// Answers to calls that were not served, or were served by a further attempt after the function had
+    /// failed.
     pub erred: u64,
 }
 
 /// How a call ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// Served within its class's aim.
+    /// Served within the latency objective of its class.
     InTime,
     /// Served later.
     Late,
@@ -31,7 +32,7 @@
 }
 
 impl Tally {
-    /// What came after `before` was taken down.
+    /// The counts since `before`, an earlier state of this tally.
     pub fn since(&self, before: &Self) -> Self {
         Self {
             answered: self.answered.saturating_sub(before.answered),
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Both together.
+    /// The sum of both.
     pub fn plus(&self, other: &Self) -> Self {
         Self {
             answered: self.answered.saturating_add(other.answered),
@@ -52,17 +53,17 @@
     }
 }
 
-/// A question to a gateway.
+/// A request to a gateway.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Question {
-    /// Take this order.
+    /// Accept this order.
     Order(Box<Record>),
-    /// What holds there, for one function or all.
+    /// Report the state of one function or of all.
     Status(Option<String>),
-    /// The one who conducts is still there: the order of this mark stays in force.
+    /// The conductor of the order with this mark is still active: renews the lease.
     Renew(String, Mark),
-    /// The last orders on a function, oldest first.
+    /// Report the last orders on a function, oldest first.
     History(String),
 }
 
@@ -70,36 +71,36 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reply {
-    /// What holds there now.
+    /// The current state.
     Status(Vec<Status>),
-    /// Orders that it took.
+    /// Orders that it accepted.
     History(Vec<Record>),
-    /// It does not do so, and why.
+    /// It refuses the request, with the reason.
     Refused(String),
 }
 
-/// What a gateway does about a function.
+/// State of a function at a gateway.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Status {
-    /// The gateway.
+    /// Name of the gateway.
     pub gateway: String,
-    /// Tells its lives apart: counts begin at nothing in each.
+    /// Process incarnation of the gateway: counts start at zero in each.
     pub life: u64,
-    /// The order that it holds.
+    /// The order in force.
     pub record: Record,
-    /// The share in force there.
+    /// Share of the new version that the gateway applies.
     pub share: Share,
-    /// Why that is not the order's.
+    /// Why that is not the order's share.
     pub hold: Option<Hold>,
-    /// Since when it has heard nothing of the order.
+    /// Time since the gateway last heard of the order.
     pub unheard: Micros,
-    /// Answers since its start, by class: of the old version, of the new.
+    /// Answers since the gateway's start by class, of the old and the new version.
     pub answers: BTreeMap<String, [Tally; 2]>,
-    /// Calls that both versions answered, and those among them whose answers differed.
+    /// Calls that both versions answered, and the number of them with differing answers.
     #[serde(default)]
     pub compared: [u64; 2],
-    /// What workers said that they ran: by routed name and digest, answers.
+    /// Number of answers by what workers report to have run: routed name, then digest.
     pub ran: BTreeMap<String, BTreeMap<String, u64>>,
-    /// Answers of workers that ran something else than they were asked for.
+    /// Answers of workers that ran something else than requested.
     pub wrong: u64,
 }
--- a/crates/versions/tests/choice.rs
+++ b/crates/versions/tests/choice.rs
@@ -1,4 +1,4 @@
-//! Who gets which version.
+//! Assignment of versions to callers.
 
 mod common;
 
@@ -15,10 +15,10 @@
     }
 }
 
-/// At each share the new version's part of 200,000 accounts is within five standard deviations of a binomial count:
-/// a fair split passes all of them with a chance of more than 99.999 %.
+/// At each share the new version's part of 200,000 accounts is within five standard deviations of a binomial
+/// count; a fair split passes all of these checks with a probability of more than 99.999 %.
 #[test]
-fn the_split_is_within_what_chance_allows_at_every_step() {
+fn the_split_at_every_share_is_statistically_fair() {
     let accounts = 200_000u32;
     for salt in [[1, 2], [77, 0], [u64::MAX, 5]] {
         let points: Vec<u16> = (0..accounts).map(|n| point(salt, &format!("account-{n}"))).collect();
@@ -26,50 +26,54 @@
             let share = Share::new(ten_thousandths).unwrap();
             let taken = points.iter().filter(|point| share.takes(**point)).count() as f64;
             let (n, p) = (f64::from(accounts), f64::from(ten_thousandths) / 1e4);
-            let off = (taken - n * p) / (n * p * (1.0 - p)).sqrt();
-            assert!(off.abs() < 5.0, "{share}: {taken} of {accounts}, {off:.1} standard deviations");
+            let deviation = (taken - n * p) / (n * p * (1.0 - p)).sqrt();
+            assert!(
+                deviation.abs() < 5.0,
+                "{share}: {taken} of {accounts}, {deviation:.1} standard deviations"
+            );
         }
         assert!(points.iter().all(|point| Share::ALL.takes(*point) && !Share::NONE.takes(*point)));
     }
 }
 
-/// Two plans do not try their new versions on the same callers: their points are independent (chi-square of a 10 by
-/// 10 table, 81 degrees of freedom; 150 is beyond one in 100,000).
+/// Two plans do not expose the same callers to their new versions: the hash buckets are independent. The
+/// chi-square statistic of a 10 by 10 table has 81 degrees of freedom and exceeds 150 less than once in
+/// 100,000 cases.
 #[test]
-fn plans_with_other_salts_choose_other_callers() {
-    let mut table = [[0f64; 10]; 10];
+fn plans_with_different_salts_choose_callers_independently() {
+    let mut counts = [[0f64; 10]; 10];
     for n in 0..100_000 {
         let key = format!("account-{n}");
-        table[usize::from(point([1, 2], &key)) / 1_000][usize::from(point([2, 1], &key)) / 1_000] += 1.0;
+        counts[usize::from(point([1, 2], &key)) / 1_000][usize::from(point([2, 1], &key)) / 1_000] += 1.0;
     }
-    let chi: f64 = table.iter().flatten().map(|count| (count - 1_000.0).powi(2) / 1_000.0).sum();
+    let chi: f64 = counts.iter().flatten().map(|count| (count - 1_000.0).powi(2) / 1_000.0).sum();
     assert!(chi < 150.0, "chi-square {chi:.0}");
 }
 
 #[test]
-fn what_a_version_sticks_to_is_what_the_plan_says() {
+fn version_affinity_follows_the_plan() {
     let callers = Callers { tenant: "t", account: "a", key: "k", trace: "x", call: "c" };
     assert_eq!(Stick::Tenant.key(&callers), Some("t"));
     assert_eq!(Stick::Account.key(&callers), Some("a"));
-    assert_eq!(Stick::Call.key(&callers), Some("k"), "a repeat with the same key gets the same");
+    assert_eq!(Stick::Call.key(&callers), Some("k"), "a retry with the same key gets the same version");
     assert_eq!(Stick::Call.key(&Callers { key: "", ..callers }), Some("x"));
     assert_eq!(Stick::Call.key(&Callers { key: "", trace: "", ..callers }), Some("c"));
     assert_eq!(Stick::Account.key(&Callers { account: "", ..callers }), None);
-    // Who tells nothing stays with the old version until that has no calls at all.
+    // A caller without an affinity key gets the old version until the new one has all calls.
     let mut versions = Versions::new("g", 1, 1);
     let mut record = start();
     versions.act(0, record.clone());
     let side = |versions: &Versions, now| versions.choose(now, "arrears", &account("")).unwrap().side;
-    assert_eq!(side(&versions, 6 * S), Side::Old);
+    assert_eq!(side(&versions, 6 * SECOND), Side::Old);
     record = then(&record, Kind::Promote, 2);
-    versions.act(7 * S, record);
-    assert_eq!(side(&versions, 8 * S), Side::New);
-    assert_eq!(versions.choose(8 * S, "other", &account("a")), None, "a function without a plan");
+    versions.act(7 * SECOND, record);
+    assert_eq!(side(&versions, 8 * SECOND), Side::New);
+    assert_eq!(versions.choose(8 * SECOND, "other", &account("a")), None, "a function without a plan");
 }
 
 #[test]
-fn shares_are_written_as_people_do() {
-    let words = [
+fn shares_are_formatted_as_percentages() {
+    let cases = [
         (0, "0%"),
         (1, "0.01%"),
         (10, "0.1%"),
@@ -78,8 +82,8 @@
         (1_250, "12.5%"),
         (10_000, "100%"),
     ];
-    for (share, word) in words {
-        assert_eq!(Share::new(share).unwrap().to_string(), word);
+    for (share, text) in cases {
+        assert_eq!(Share::new(share).unwrap().to_string(), text);
     }
     assert_eq!(Share::new(10_001), None);
 }
@@ -87,9 +91,9 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// Widening moves callers from the old version to the new and never back, and all gateways say the same.
+    /// Widening moves callers from the old version to the new and never back, alike at all gateways.
     #[test]
-    fn a_wider_share_only_moves_callers_one_way(names in prop::collection::vec("[a-z0-9]{1,12}", 1..40), salt: [u64; 2]) {
+    fn a_greater_share_moves_callers_only_to_the_new_version(names in prop::collection::vec("[a-z0-9]{1,12}", 1..40), salt: [u64; 2]) {
         let plan = Plan { salt, preload: 0, ..plan() };
         let mut record = Record::start(plan, None, 1, 0, "", "").unwrap();
         let mut gateways: Vec<Versions> = (0..3).map(|n| Versions::new(&n.to_string(), n, 3)).collect();
--- a/crates/versions/tests/compare.rs
+++ b/crates/versions/tests/compare.rs
@@ -1,4 +1,4 @@
-//! Answers held against each other.
+//! Comparison of answers to the same call.
 
 use cresswheel_versions::*;
 
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn answers_are_alike_byte_for_byte_or_but_for_small_differences_of_numbers() {
+fn answers_are_compared_by_bytes_or_with_a_tolerance_for_numbers() {
     let exact = compare(0.0);
     assert!(exact.same(b"{\"due\": 100}", b"{\"due\": 100}"));
     assert!(!exact.same(b"{\"due\": 100}", b"{\"due\": 100.0}"));
@@ -33,25 +33,26 @@
     assert!(near.same(&[255, 0, 7], &[255, 0, 7]) && !near.same(&[255, 0, 7], &[255, 1, 7]));
 }
 
-/// Over all outcomes of twelve pairs the mean is one where as many differ as may, and less where fewer do.
+/// Over all outcomes of twelve pairs, the expected evidence is one at the tolerated share of differing
+/// answers, and less below it.
 #[test]
-fn the_evidence_has_a_mean_of_one_under_chance() {
-    for (borne, truth) in [(0.01, 0.01), (0.2, 0.2), (0.2, 0.05), (0.97, 0.97)] {
+fn the_evidence_has_an_expectation_of_one_at_the_tolerated_share() {
+    for (tolerated, truth) in [(0.01, 0.01), (0.2, 0.2), (0.2, 0.05), (0.97, 0.97)] {
         let mut mean = 0.0;
         for differ in 0..=12u64 {
             let ways: f64 = (0..differ).map(|at| (12 - at) as f64 / (at + 1) as f64).product();
             let chance = ways * f64::powi(truth, differ as i32) * f64::powi(1.0 - truth, 12 - differ as i32);
-            let mut evidence = Differing::new(borne);
+            let mut evidence = Differing::new(tolerated);
             evidence.add(12, differ);
             mean += chance * evidence.evidence();
         }
-        assert!(mean <= 1.0 + 1e-9, "{borne} {truth}: {mean}");
-        assert!(borne != truth || mean > 1.0 - 1e-9, "{borne} {truth}: {mean}");
+        assert!(mean <= 1.0 + 1e-9, "{tolerated} {truth}: {mean}");
+        assert!(tolerated != truth || mean > 1.0 - 1e-9, "{tolerated} {truth}: {mean}");
     }
 }
 
 #[test]
-fn a_version_whose_answers_differ_is_found_and_one_that_differs_as_borne_is_not() {
+fn differing_answers_are_found_beyond_the_tolerance_and_accepted_within_it() {
     let guard = Guard { compare: Some(compare(0.0)), ..Guard::new(vec!["c".into()]) };
     let mut judge = Judge::new(&guard, 1);
     judge.compared(1_000, 10);
@@ -65,12 +66,12 @@
 }
 
 #[test]
-fn calls_that_are_compared_are_not_those_that_the_share_takes_first() {
+fn compared_calls_are_chosen_independently_of_the_share() {
     let compare = Compare { share: Share::new(5_000).unwrap(), differ: 0.01, within: 0.0 };
     let salt = [7, 9];
     let first: Vec<String> = (0..20_000).map(|n| n.to_string()).filter(|n| point(salt, n) < 1_000).collect();
     let taken = first.iter().filter(|name| compare.takes(salt, name)).count() as f64;
-    // Half of about two thousand, within five standard deviations.
+    // Expected is half of about two thousand calls, within five standard deviations.
     let n = first.len() as f64;
     assert!((taken - n / 2.0).abs() < 5.0 * (n / 4.0).sqrt(), "{taken} of {n}");
 }
--- a/crates/versions/tests/conductor.rs
+++ b/crates/versions/tests/conductor.rs
@@ -1,4 +1,5 @@
-//! A conductor over real rollouts, without sockets: a small fleet in virtual time, with gateways out of reach.
+//! A conductor with a small fleet of gateways in virtual time and without sockets; gateways may be
+//! unreachable.
 
 mod common;
 
@@ -12,14 +13,14 @@
 struct Fleet {
     now: u64,
     gateways: Vec<Versions>,
-    cut: BTreeSet<usize>,
+    unreachable: BTreeSet<usize>,
     conductor: Conductor,
     rng: Pcg32,
-    /// Calls a second at each gateway, and the chance of an error of either version.
-    calls: u32,
-    bad: [f64; 2],
-    /// Calls given to the new version.
-    new: u64,
+    /// Calls per second at each gateway, and the probability of an error of the old and the new version.
+    calls_per_second: u32,
+    error_rates: [f64; 2],
+    /// Calls that the new version got.
+    new_calls: u64,
 }
 
 impl Fleet {
@@ -29,30 +30,30 @@
         Self {
             now: 0,
             gateways: (0..gateways).map(gateway).collect(),
-            cut: BTreeSet::new(),
+            unreachable: BTreeSet::new(),
             conductor: Conductor::new(record, gateways, 0),
             rng: Pcg32::new(9, 9),
-            calls: 100,
-            bad: [0.01, 0.01],
-            new: 0,
+            calls_per_second: 100,
+            error_rates: [0.01, 0.01],
+            new_calls: 0,
         }
     }
 
-    fn lot(&mut self) -> f64 {
+    fn random(&mut self) -> f64 {
         f64::from(self.rng.next_u32()) / (f64::from(u32::MAX) + 1.0)
     }
 
-    /// A second: calls, then a round of the conductor.
-    fn second(&mut self) {
-        self.now += S;
+    /// Simulates a second: calls, then a turn of the conductor.
+    fn run_second(&mut self) {
+        self.now += SECOND;
         for at in 0..self.gateways.len() {
-            for _ in 0..self.calls {
+            for _ in 0..self.calls_per_second {
                 let name = self.rng.next_u32().to_string();
                 let Some(chosen) = self.gateways[at].choose(self.now, "arrears", &account(&name)) else {
                     continue;
                 };
-                self.new += u64::from(chosen.side == Side::New);
-                let bad = self.lot() < self.bad[chosen.side as usize];
+                self.new_calls += u64::from(chosen.side == Side::New);
+                let bad = self.random() < self.error_rates[chosen.side as usize];
                 self.gateways[at].answered(
                     "arrears",
                     chosen.side,
@@ -69,8 +70,8 @@
                 Act::Order(which) | Act::Renew(which) => which.clone(),
             };
             for at in which {
-                if self.cut.contains(&at) {
-                    self.conductor.heard(at, self.now, Err("cut off".into()));
+                if self.unreachable.contains(&at) {
+                    self.conductor.heard(at, self.now, Err("unreachable".into()));
                     continue;
                 }
                 match act {
@@ -83,8 +84,8 @@
         }
     }
 
-    fn seconds(&mut self, seconds: u64) {
-        (0..seconds).for_each(|_| self.second());
+    fn run_seconds(&mut self, seconds: u64) {
+        (0..seconds).for_each(|_| self.run_second());
     }
 
     fn stage(&self) -> Stage {
@@ -102,7 +103,7 @@
     let mut fleet = Fleet::new(4, plan());
     let mut seen = Vec::new();
     for _ in 0..90 {
-        fleet.second();
+        fleet.run_second();
         if seen.last() != Some(&fleet.stage()) {
             seen.push(fleet.stage());
         }
@@ -114,146 +115,160 @@
 }
 
 #[test]
-fn too_few_answers_hold_a_step() {
+fn too_few_answers_delay_the_next_step() {
     let mut fleet = Fleet::new(4, plan());
-    fleet.calls = 1;
-    fleet.seconds(200);
-    assert_eq!(fleet.stage(), Stage::Step(0), "some eight answers of the new version, fifty are wanted");
+    fleet.calls_per_second = 1;
+    fleet.run_seconds(200);
+    assert_eq!(fleet.stage(), Stage::Step(0), "the new version has about eight answers, fifty are required");
 }
 
-/// At one percent; harmed calls are held against what the test promises, and each gateway alone sees too little.
+/// At a share of one percent no gateway alone sees enough errors. The number of failed calls is compared with
+/// the expectation of the sequential test.
 #[test]
-fn a_bad_version_is_rolled_back_everywhere_at_one_percent() {
+fn a_bad_version_at_one_percent_is_rolled_back_at_all_gateways() {
     let mut fleet = Fleet::new(20, Plan { preload: 0, ..plan() });
-    fleet.bad = [0.002, 0.6];
-    let promised = promised_calls(&plan().guard, 1, 0.01, (0.002, 0.6));
-    fleet.seconds(12);
+    fleet.error_rates = [0.002, 0.6];
+    let predicted = promised_calls(&plan().guard, 1, 0.01, (0.002, 0.6));
+    fleet.run_seconds(12);
     assert_eq!(fleet.stage(), Stage::RolledBack);
     assert_eq!(fleet.conductor.record().by, "guard");
     assert!(fleet.conductor.record().why.starts_with("estimate: more errors"));
-    // Twenty calls of the new version come in a second. Two seconds settle, one more sees the order out.
-    assert!((fleet.new as f64) < 1.5 * promised + 5.0 * 20.0, "{} calls, {promised:.0} promised", fleet.new);
+    // The new version gets twenty calls per second. Two seconds pass to settle, one more until the order
+    // arrives.
+    assert!(
+        (fleet.new_calls as f64) < 1.5 * predicted + 5.0 * 20.0,
+        "{} calls, {predicted:.0} predicted",
+        fleet.new_calls
+    );
     assert_eq!(fleet.shares(), [0; 20]);
 }
 
 #[test]
-fn a_gateway_out_of_reach_holds_the_step_until_its_lease_is_over() {
+fn an_unreachable_gateway_delays_the_step_until_its_lease_expires() {
     let mut fleet = Fleet::new(3, plan());
-    fleet.seconds(8);
-    fleet.cut.insert(2);
-    fleet.seconds(20);
-    assert_eq!((fleet.stage(), fleet.shares()), (Stage::Step(0), vec![100; 3]), "nobody is left behind");
-    fleet.seconds(15);
-    assert_eq!((fleet.shares()[2], fleet.stage()), (0, Stage::Step(1)), "it went back, and the rest goes on");
-    // It comes back in the middle, and goes to the present step at once.
-    fleet.cut.clear();
-    fleet.seconds(2);
+    fleet.run_seconds(8);
+    fleet.unreachable.insert(2);
+    fleet.run_seconds(20);
+    assert_eq!(
+        (fleet.stage(), fleet.shares()),
+        (Stage::Step(0), vec![100; 3]),
+        "no step without the unreachable gateway"
+    );
+    fleet.run_seconds(15);
+    assert_eq!(
+        (fleet.shares()[2], fleet.stage()),
+        (0, Stage::Step(1)),
+        "it returned to the old version, and the others continue"
+    );
+    // When it is reachable again, it applies the current step at once.
+    fleet.unreachable.clear();
+    fleet.run_seconds(2);
     assert_eq!(fleet.shares()[2], fleet.conductor.record().share().ten_thousandths());
 }
 
 #[test]
-fn a_gateway_cut_off_during_a_rollback_goes_back_by_itself() {
+fn a_gateway_that_misses_a_rollback_returns_to_the_old_version_when_its_lease_expires() {
     let mut fleet = Fleet::new(3, plan());
-    fleet.seconds(10);
-    fleet.cut.insert(0);
+    fleet.run_seconds(10);
+    fleet.unreachable.insert(0);
     fleet.conductor.order(Kind::RollBack, 5, fleet.now, "bob", "").unwrap();
-    fleet.second();
+    fleet.run_second();
     assert_eq!(fleet.shares(), [100, 0, 0]);
-    fleet.seconds(31);
-    assert_eq!(fleet.shares(), [0, 0, 0], "within the lease, without a word");
+    fleet.run_seconds(31);
+    assert_eq!(fleet.shares(), [0, 0, 0], "by the end of the lease, without any message");
 }
 
 #[test]
-fn another_operator_s_rollback_is_taken_over_and_a_pause_holds() {
+fn orders_of_another_operator_are_adopted() {
     let mut fleet = Fleet::new(3, plan());
-    fleet.seconds(8);
+    fleet.run_seconds(8);
     let paused = then(fleet.conductor.record(), Kind::Pause, 50);
     fleet.gateways[1].act(fleet.now, paused);
-    fleet.seconds(60);
+    fleet.run_seconds(60);
     assert!(fleet.conductor.record().paused && fleet.conductor.overruled());
     assert_eq!(fleet.shares(), [100; 3], "paused everywhere by an order at one gateway");
     let back = then(fleet.conductor.record(), Kind::RollBack, 51);
     fleet.gateways[2].act(fleet.now, back);
-    fleet.seconds(2);
+    fleet.run_seconds(2);
     assert_eq!((fleet.stage(), fleet.shares()), (Stage::RolledBack, vec![0; 3]));
 }
 
 #[test]
-fn a_gateway_that_braked_alone_pulls_all_back() {
+fn a_brake_at_one_gateway_rolls_back_all_gateways() {
     let mut fleet = Fleet::new(3, Plan { preload: 0, ..plan() });
-    fleet.seconds(4);
+    fleet.run_seconds(4);
     let record = fleet.conductor.record().clone();
     fleet.gateways[1] = Versions::new("g1", 77, 3);
     fleet.gateways[1].restore(fleet.now, fleet.now, record, Some("post: more errors".into()));
-    fleet.seconds(2);
+    fleet.run_seconds(2);
     assert_eq!(fleet.stage(), Stage::RolledBack);
     assert_eq!(fleet.conductor.record().why, "g1 braked: post: more errors");
 }
 
 #[test]
-fn a_gateway_s_new_life_is_counted_from_nothing() {
+fn counts_of_a_restarted_gateway_start_at_zero() {
     let mut fleet = Fleet::new(2, plan());
-    fleet.seconds(5);
+    fleet.run_seconds(5);
     let before = fleet.conductor.sums()["estimate"][0].answered;
     let record = fleet.conductor.record().clone();
     fleet.gateways[0] = Versions::new("g0", 99, 2);
     fleet.gateways[0].restore(fleet.now, fleet.now, record, None);
-    fleet.seconds(2);
+    fleet.run_seconds(2);
     let after = fleet.conductor.sums()["estimate"][0].answered;
     assert!(after > before && after - before <= 800, "{before} then {after}");
 }
 
 #[test]
-fn a_last_step_below_all_calls_is_held_for_a_person() {
-    let mut fleet = Fleet::new(2, Plan { steps: vec![step(1_000, 2 * S)], ..plan() });
-    fleet.seconds(60);
+fn a_last_step_below_100_percent_waits_for_a_manual_promotion() {
+    let mut fleet = Fleet::new(2, Plan { steps: vec![step(1_000, 2 * SECOND)], ..plan() });
+    fleet.run_seconds(60);
     assert_eq!(fleet.stage(), Stage::Step(0));
     fleet.conductor.order(Kind::Promote, 5, fleet.now, "bob", "").unwrap();
-    fleet.second();
+    fleet.run_second();
     assert_eq!(fleet.shares(), [10_000; 2]);
 }
 
 #[test]
-fn a_plan_that_follows_another_is_judged_by_its_own_answers_alone() {
+fn a_plan_is_judged_only_by_its_own_answers_and_not_by_those_of_the_plan_before() {
     let mut fleet = Fleet::new(3, Plan { preload: 0, ..plan() });
-    fleet.seconds(70);
+    fleet.run_seconds(70);
     assert_eq!(fleet.stage(), Stage::Promoted);
     let before = fleet.conductor.record().clone();
     let next = Plan { old: "8".into(), new: "9".into(), salt: [8, 8], preload: 0, ..plan() };
     let record = Record::start(next, Some(&before), 900, fleet.now, "ann", "").unwrap();
     fleet.conductor = Conductor::new(record, 3, fleet.now);
-    // The tool looks before it orders, and is told of the plan before.
+    // The tool reads the state before it sends the order, and gets that of the previous plan.
     for at in 0..3 {
         let status = fleet.gateways[at].status(fleet.now, None).into_iter().next();
         fleet.conductor.heard(at, fleet.now, Ok(status));
     }
-    fleet.second();
-    (fleet.bad, fleet.new) = ([0.01, 0.9], 0);
-    assert!(fleet.conductor.sums().is_empty(), "nothing of this plan was answered yet");
-    fleet.seconds(15);
+    fleet.run_second();
+    (fleet.error_rates, fleet.new_calls) = ([0.01, 0.9], 0);
+    assert!(fleet.conductor.sums().is_empty(), "this plan has no answers yet");
+    fleet.run_seconds(15);
     assert_eq!(fleet.stage(), Stage::RolledBack);
-    assert!(fleet.new < 100, "{} calls of the new version", fleet.new);
+    assert!(fleet.new_calls < 100, "{} calls of the new version", fleet.new_calls);
 }
 
 #[test]
-fn a_step_waits_until_both_versions_were_heard() {
-    let step = step(9_990, 2 * S);
+fn a_step_waits_for_answers_of_both_versions() {
+    let step = step(9_990, 2 * SECOND);
     let mut fleet =
-        Fleet::new(1, Plan { steps: vec![step, common::step(10_000, 2 * S)], preload: 0, ..plan() });
-    fleet.seconds(60);
-    assert_eq!(fleet.stage(), Stage::Step(0), "some six answers of the old version, fifty are wanted");
+        Fleet::new(1, Plan { steps: vec![step, common::step(10_000, 2 * SECOND)], preload: 0, ..plan() });
+    fleet.run_seconds(60);
+    assert_eq!(fleet.stage(), Stage::Step(0), "the old version has about six answers, fifty are required");
 }
 
 #[test]
-fn answers_that_differ_pull_all_back() {
+fn differing_answers_cause_a_rollback() {
     let mut plan = Plan { preload: 0, ..plan() };
     plan.guard.compare = Some(Compare { share: Share::ALL, differ: 0.02, within: 0.0 });
     let mut fleet = Fleet::new(3, plan);
-    fleet.seconds(3);
+    fleet.run_seconds(3);
     for n in 0..40 {
         fleet.gateways[n % 3].compared("arrears", n % 2 == 0);
     }
-    fleet.seconds(3);
+    fleet.run_seconds(3);
     assert_eq!(fleet.stage(), Stage::RolledBack);
     assert!(
         fleet.conductor.record().why.starts_with("all: more differing answers"),
--- a/crates/versions/tests/epochs.rs
+++ b/crates/versions/tests/epochs.rs
@@ -1,6 +1,6 @@
-//! An exhaustive search over orders, messages and kills for three gateways: every order of deliveries, losses,
-//! repeats, kills between writing and acting, and restarts. The rules under test are those of `Versions::weigh` and
-//! `Record::then`; the model keeps only what survives a kill and what does not.
+//! Model checking of orders at three gateways, over all sequences of deliveries, losses, repeats, kills
+//! between writing and acting, and restarts. The code under test is `Versions::weigh` and `Record::then`; the
+//! model only tracks what a gateway has on disk and what it acts on.
 
 mod common;
 
@@ -13,54 +13,54 @@
 
 const GATEWAYS: usize = 3;
 
-/// A record by what tells it from others; the rest is the same in all.
-type Name = (u64, Kind, Stage, bool, u64);
+/// The parts of a record that differ within this test.
+type RecordKey = (u64, Kind, Stage, bool, u64);
 
-fn name(record: &Record) -> Name {
+fn key(record: &Record) -> RecordKey {
     (record.epoch, record.kind, record.stage, record.paused, record.id)
 }
 
-fn record(name: Name) -> Record {
-    let (epoch, kind, stage, paused, id) = name;
+fn record(key: RecordKey) -> Record {
+    let (epoch, kind, stage, paused, id) = key;
     Record { epoch, kind, stage, paused, id, ..start() }
 }
 
-fn mark(name: Option<Name>) -> Mark {
-    name.map_or(Mark::default(), |name| record(name).mark())
+fn mark(key: Option<RecordKey>) -> Mark {
+    key.map_or(Mark::default(), |key| record(key).mark())
 }
 
 thread_local! {
-    /// Weighing is pure, and the search asks the same over and over.
-    static WEIGHED: RefCell<HashMap<(Option<Name>, Name), bool>> = RefCell::default();
+    /// Cache: `weigh` is pure, and the search asks for the same results many times.
+    static CACHE: RefCell<HashMap<(Option<RecordKey>, RecordKey), bool>> = RefCell::default();
 }
 
-/// Whether a gateway that holds the one would take the other, by the real code.
-fn takes(held: Option<Name>, came: Name) -> bool {
-    WEIGHED.with_borrow_mut(|weighed| {
-        *weighed.entry((held, came)).or_insert_with(|| {
+/// Whether a gateway with the record `held` accepts the record `incoming`, by the code under test.
+fn accepts(held: Option<RecordKey>, incoming: RecordKey) -> bool {
+    CACHE.with_borrow_mut(|cache| {
+        *cache.entry((held, incoming)).or_insert_with(|| {
             let mut versions = Versions::new("g", 1, GATEWAYS as u32);
             held.into_iter().for_each(|held| versions.act(0, record(held)));
-            versions.weigh(&record(came)) == Weight::Newer
+            versions.weigh(&record(incoming)) == Weight::Newer
         })
     })
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Gateway {
-    disk: Option<Name>,
-    /// What it acts on; lost in a kill.
-    acts: Option<Name>,
+    disk: Option<RecordKey>,
+    /// The record that it acts on; lost in a kill.
+    acts: Option<RecordKey>,
     up: bool,
-    /// The greatest that the disk ever held.
-    greatest: Option<Name>,
+    /// The greatest record that was ever on disk.
+    greatest: Option<RecordKey>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Fleet {
     gateways: [Gateway; GATEWAYS],
-    /// Orders that were given, and who still may get each (again).
-    orders: Vec<(Name, [bool; GATEWAYS])>,
-    /// What each operator has yet to order.
+    /// Orders that were given, and the gateways at which each may still arrive, for the first time or again.
+    orders: Vec<(RecordKey, [bool; GATEWAYS])>,
+    /// Number of orders that each operator has given.
     operators: [usize; 2],
     kills: usize,
     repeats: usize,
@@ -68,31 +68,31 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Action {
-    /// An operator reads what a gateway holds, and orders its next thing.
+    /// An operator reads the record of a gateway and gives its next order.
     Order(usize, usize),
-    /// An order arrives and is written; nothing acts on it yet.
+    /// An order arrives and is written to disk; the gateway does not act on it yet.
     Write(usize, usize),
-    /// It was sent again: it may arrive once more.
+    /// An order is sent again and may arrive once more.
     Repeat(usize, usize),
-    /// The gateway acts on what it wrote.
+    /// The gateway acts on the record on disk.
     Act(usize),
     Kill(usize),
     Restart(usize),
 }
 
-/// What the two operators order, one after the other: opposite things.
-struct Shift {
+/// Sequences of conflicting orders of two operators.
+struct Scenario {
     orders: [&'static [Kind]; 2],
     kills: usize,
     repeats: usize,
 }
 
-impl Model for Shift {
+impl Model for Scenario {
     type State = Fleet;
     type Action = Action;
 
     fn init_states(&self) -> Vec<Fleet> {
-        let first = Some(name(&start()));
+        let first = Some(key(&start()));
         let gateway = Gateway { disk: first, acts: first, up: true, greatest: first };
         let gateways = [gateway.clone(), gateway.clone(), gateway];
         vec![Fleet { gateways, orders: Vec::new(), operators: [0, 0], kills: 0, repeats: 0 }]
@@ -106,8 +106,8 @@
             }
         }
         for (at, gateway) in state.gateways.iter().enumerate() {
-            for (order, (_, ways)) in state.orders.iter().enumerate() {
-                match (ways[at], gateway.up) {
+            for (order, (_, pending)) in state.orders.iter().enumerate() {
+                match (pending[at], gateway.up) {
                     (true, true) => actions.push(Action::Write(order, at)),
                     (false, _) if state.repeats < self.repeats => actions.push(Action::Repeat(order, at)),
                     _ => {}
@@ -133,20 +133,21 @@
                 let kind = self.orders[operator][next.operators[operator]];
                 next.operators[operator] += 1;
                 let id = 10 * (operator as u64 + 1) + next.operators[operator] as u64;
-                // A gateway tells what it acts on. An order that makes no sense after that is not given.
+                // A gateway reports the record that it acts on. An order that is invalid after it is not
+                // given.
                 if let Ok(order) = record(next.gateways[at].acts?).then(kind, id, 0, "", "") {
-                    next.orders.push((name(&order), [true; GATEWAYS]));
+                    next.orders.push((key(&order), [true; GATEWAYS]));
                 }
             }
             Action::Write(order, at) => {
                 next.orders[order].1[at] = false;
-                let came = next.orders[order].0;
+                let incoming = next.orders[order].0;
                 let gateway = &mut next.gateways[at];
-                // What is held is what was written: a gateway writes and acts in one go, or dies between.
-                if takes(gateway.disk, came) {
-                    gateway.disk = Some(came);
-                    if mark(Some(came)) > mark(gateway.greatest) {
-                        gateway.greatest = Some(came);
+                // The record on disk decides: a gateway writes and acts in one step, or is killed in between.
+                if accepts(gateway.disk, incoming) {
+                    gateway.disk = Some(incoming);
+                    if mark(Some(incoming)) > mark(gateway.greatest) {
+                        gateway.greatest = Some(incoming);
                     }
                 }
             }
@@ -170,26 +171,26 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("nothing acts on what is not written", |_, state: &Fleet| {
+            Property::always("no gateway acts on a record that is not on disk", |_, state: &Fleet| {
                 state.gateways.iter().all(|g| mark(g.acts) <= mark(g.disk))
             }),
             Property::always("an older order never replaces a newer one", |_, state: &Fleet| {
                 state.gateways.iter().all(|g| g.disk == g.greatest)
             }),
             Property::always(
-                "when all has arrived, all act on the same, the greatest",
+                "after all deliveries, all gateways act on the greatest record",
                 |_, state: &Fleet| {
-                    let arrived = state.orders.iter().all(|(_, ways)| !ways.contains(&true));
+                    let arrived = state.orders.iter().all(|(_, pending)| !pending.contains(&true));
                     let settled = state.gateways.iter().all(|g| g.up && g.acts == g.disk);
-                    let greatest = state.orders.iter().map(|(name, _)| *name).chain([name(&start())]);
-                    let greatest = greatest.max_by_key(|name| mark(Some(*name)));
+                    let greatest = state.orders.iter().map(|(key, _)| *key).chain([key(&start())]);
+                    let greatest = greatest.max_by_key(|key| mark(Some(*key)));
                     !arrived || !settled || state.gateways.iter().all(|g| g.acts == greatest)
                 },
             ),
             Property::always(
-                "a rollback that all have is undone by none of its own epoch",
+                "a rollback at all gateways is not undone by an order of the same epoch",
                 |_, state: &Fleet| {
-                    let back = state.orders.iter().filter(|(name, _)| name.2 == Stage::RolledBack);
+                    let back = state.orders.iter().filter(|(key, _)| key.2 == Stage::RolledBack);
                     back.into_iter().all(|(back, _)| {
                         let all = state.gateways.iter().all(|g| mark(g.greatest) >= mark(Some(*back)));
                         let same =
@@ -198,36 +199,39 @@
                     })
                 },
             ),
-            Property::sometimes("operators at one epoch order opposite things", |_, state: &Fleet| {
-                let at = |stage| {
-                    state.orders.iter().filter(move |(name, _)| name.2 == stage).map(|(name, _)| name.0)
-                };
+            Property::sometimes("operators give conflicting orders at one epoch", |_, state: &Fleet| {
+                let at =
+                    |stage| state.orders.iter().filter(move |(key, _)| key.2 == stage).map(|(key, _)| key.0);
                 at(Stage::RolledBack).any(|epoch| at(Stage::Step(1)).any(|other| other == epoch))
             }),
-            Property::sometimes("a gateway dies between writing and acting", |_, state: &Fleet| {
-                state.gateways.iter().any(|g| !g.up && g.disk != Some(name(&start())))
+            Property::sometimes("a gateway is killed between writing and acting", |_, state: &Fleet| {
+                state.gateways.iter().any(|g| !g.up && g.disk != Some(key(&start())))
             }),
         ]
     }
 }
 
 #[test]
-fn every_order_of_messages_and_kills_ends_in_the_greatest_record() {
-    let shift = Shift { orders: [&[Kind::Widen, Kind::Widen], &[Kind::RollBack]], kills: 2, repeats: 1 };
-    let checked = shift.checker().threads(2).spawn_bfs().join();
+fn all_sequences_of_deliveries_and_kills_end_in_the_greatest_record() {
+    let scenario =
+        Scenario { orders: [&[Kind::Widen, Kind::Widen], &[Kind::RollBack]], kills: 2, repeats: 1 };
+    let checked = scenario.checker().threads(2).spawn_bfs().join();
     checked.assert_properties();
     eprintln!("{} states", checked.unique_state_count());
     assert!(checked.unique_state_count() > 10_000, "{} states", checked.unique_state_count());
 }
 
 #[test]
-fn every_order_of_a_promotion_and_a_pause_ends_in_one_record() {
-    let shift = Shift { orders: [&[Kind::Promote], &[Kind::Pause, Kind::RollBack]], kills: 1, repeats: 0 };
-    let checked = shift.checker().threads(2).spawn_bfs().join();
-    for property in ["nothing acts on what is not written", "an older order never replaces a newer one"] {
+fn all_sequences_of_a_promotion_and_a_pause_end_in_one_record() {
+    let scenario =
+        Scenario { orders: [&[Kind::Promote], &[Kind::Pause, Kind::RollBack]], kills: 1, repeats: 0 };
+    let checked = scenario.checker().threads(2).spawn_bfs().join();
+    for property in
+        ["no gateway acts on a record that is not on disk", "an older order never replaces a newer one"]
+    {
         checked.assert_no_discovery(property);
     }
-    checked.assert_no_discovery("when all has arrived, all act on the same, the greatest");
-    checked.assert_no_discovery("a rollback that all have is undone by none of its own epoch");
+    checked.assert_no_discovery("after all deliveries, all gateways act on the greatest record");
+    checked.assert_no_discovery("a rollback at all gateways is not undone by an order of the same epoch");
     eprintln!("{} states", checked.unique_state_count());
 }
--- a/crates/versions/tests/evidence.rs
+++ b/crates/versions/tests/evidence.rs
@@ -1,4 +1,5 @@
-//! The sequential test: its mean under chance, its false alarms, its speed against what it promises.
+//! The sequential test: its expectation without a difference, its false alarms, and its speed against the
+//! prediction.
 
 mod common;
 
@@ -7,33 +8,33 @@
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::Rng;
 
-fn lot(rng: &mut Pcg32) -> f64 {
+fn random(rng: &mut Pcg32) -> f64 {
     f64::from(rng.next_u32()) / (f64::from(u32::MAX) + 1.0)
 }
 
-fn choose(n: u64, k: u64) -> f64 {
+fn binomial(n: u64, k: u64) -> f64 {
     (0..k).map(|at| (n - at) as f64 / (at + 1) as f64).product()
 }
 
-/// Over all splits that chance may make, the factor of a stretch has a mean of exactly one where the odds are the
-/// greatest borne, and of less where they are smaller.
+/// Over all possible splits, the factor of a window has an expectation of one at the greatest tolerated odds,
+/// and at most one below them.
 #[test]
-fn a_stretch_has_a_mean_of_one_under_chance() {
+fn a_window_has_an_expectation_of_one_at_the_tolerated_odds() {
     for (new, old, bad) in [(3, 5, 2), (10, 90, 7), (1, 40, 12), (50, 50, 100), (20, 4, 9)] {
-        for (borne, odds) in [(1.0, 1.0), (1.5, 1.5), (1.5, 1.0), (2.0, 0.3)] {
+        for (tolerated, odds) in [(1.0, 1.0), (1.5, 1.5), (1.5, 1.0), (2.0, 0.3)] {
             let splits = bad_splits(new, old, bad);
-            let weight = |k: u64| choose(new, k) * choose(old, bad - k) * f64::powi(odds, k as i32);
+            let weight = |k: u64| binomial(new, k) * binomial(old, bad - k) * f64::powi(odds, k as i32);
             let all: f64 = splits.clone().map(weight).sum();
             let factor = |k: u64| {
-                let mut comparison = Comparison::new(borne);
+                let mut comparison = Comparison::new(tolerated);
                 comparison.add((new, k), (old, bad - k));
                 comparison.evidence()
             };
             let mean: f64 = splits.map(|k| weight(k) / all * factor(k)).sum();
-            if odds == borne {
+            if odds == tolerated {
                 assert!((mean - 1.0).abs() < 1e-9, "{new} {old} {bad} at {odds}: {mean}");
             } else {
-                assert!(mean <= 1.0 + 1e-9, "{new} {old} {bad} at {odds} of {borne}: {mean}");
+                assert!(mean <= 1.0 + 1e-9, "{new} {old} {bad} at {odds} of {tolerated}: {mean}");
             }
         }
     }
@@ -44,7 +45,7 @@
 }
 
 #[test]
-fn nothing_to_compare_is_no_evidence_and_absurd_counts_do_no_harm() {
+fn windows_without_a_comparison_and_invalid_counts_are_no_evidence() {
     let mut comparison = Comparison::new(1.5);
     for (new, old) in
         [((0, 0), (10, 10)), ((10, 10), (0, 0)), ((10, 0), (10, 0)), ((u64::MAX, u64::MAX), (9, 9))]
@@ -52,7 +53,7 @@
         comparison.add(new, old);
         assert_eq!(comparison.evidence(), 1.0);
     }
-    // More bad answers than answers are as many as there are.
+    // A count of bad answers above the count of answers is capped.
     comparison.add((3, 9), (5, 7));
     assert!(comparison.evidence().is_finite());
     let mut long = Comparison::new(1.0);
@@ -60,39 +61,40 @@
     assert!(long.evidence().is_finite());
 }
 
-/// A plan's calls in stretches of a second: `calls` a stretch, bad with these chances. Answers of the new version until
-/// the judge spoke, if it did within so many stretches.
+/// Simulates `calls` per window, with the given probabilities of a bad answer. Returns the number of answers
+/// of the new version until the judge found it worse, or `None` if it did not within this many windows.
 fn run(
     rng: &mut Pcg32,
     guard: &Guard,
     share: f64,
     calls: u32,
     bad: (f64, f64),
-    stretches: u32,
+    max_windows: u32,
 ) -> Option<u64> {
     let mut judge = Judge::new(guard, 1);
-    let mut harmed = 0;
-    for _ in 0..stretches {
+    let mut new_answers = 0;
+    for _ in 0..max_windows {
         let (mut old, mut new) = (Tally::default(), Tally::default());
         for _ in 0..calls {
-            let takes = lot(rng) < share;
+            let takes = random(rng) < share;
             let (tally, chance) = if takes { (&mut new, bad.1) } else { (&mut old, bad.0) };
             tally.answered += 1;
-            tally.erred += u64::from(lot(rng) < chance);
+            tally.erred += u64::from(random(rng) < chance);
         }
-        harmed += new.answered;
+        new_answers += new.answered;
         judge.add("estimate", &old, &new);
         if judge.verdict().is_some() {
-            return Some(harmed);
+            return Some(new_answers);
         }
     }
     None
 }
 
-/// A guard of one in ten speaks against an equal version in less than one plan of ten, though it looks after every
-/// second: 400 plans, and one of 0.1 would give 52 or more of them (two standard deviations) once in 40.
+/// A guard with a false alarm rate of 0.1 rejects an equal version in less than one plan of ten, though it is
+/// evaluated after each window. A true rate of 0.1 gives 52 or more alarms in 400 plans (two standard
+/// deviations) once in 40 times.
 #[test]
-fn false_alarms_are_rarer_than_stated() {
+fn false_alarms_are_rarer_than_the_stated_rate() {
     let guard = Guard { false_alarm: 0.1, worse: 1.0, ..plan().guard };
     let mut rng = Pcg32::new(5, 1);
     for (share, bad) in [(0.01, 0.02), (0.5, 0.02), (0.1, 0.3)] {
@@ -101,22 +103,22 @@
     }
 }
 
-/// What is borne is no alarm; what is plainly worse is always found.
+/// A clearly worse version is always found, after about the predicted number of calls.
 #[test]
-fn a_bad_version_is_found_near_the_promised_count() {
+fn a_bad_version_is_found_after_about_the_predicted_number_of_calls() {
     let guard = plan().guard;
     let mut rng = Pcg32::new(6, 1);
     for (share, calls, bad) in
         [(0.01, 2_000, (0.002, 0.5)), (0.01, 2_000, (0.01, 0.1)), (0.1, 500, (0.01, 1.0))]
     {
-        let promised = promised_calls(&guard, 1, share, bad);
+        let predicted = promised_calls(&guard, 1, share, bad);
         let each = share * f64::from(calls);
         let found: Vec<u64> =
             (0..100).map(|_| run(&mut rng, &guard, share, calls, bad, 2_000).expect("found")).collect();
         let mean = found.iter().sum::<u64>() as f64 / found.len() as f64;
-        // The last stretch is counted whole, and the evidence overshoots.
-        assert!(mean < 1.5 * promised + 2.0 * each, "{mean:.0} calls at {share}, {promised:.0} promised");
-        assert!(mean > 0.5 * promised, "{mean:.0} calls at {share}, {promised:.0} promised");
+        // The last window counts completely, and the evidence exceeds its threshold.
+        assert!(mean < 1.5 * predicted + 2.0 * each, "{mean:.0} calls at {share}, {predicted:.0} predicted");
+        assert!(mean > 0.5 * predicted, "{mean:.0} calls at {share}, {predicted:.0} predicted");
     }
 }
 
@@ -125,14 +127,14 @@
     let guard = plan().guard;
     let mut judge = Judge::new(&guard, 1);
     let tally = |answered, errors, late| Tally { answered, errors, late, erred: errors };
-    judge.add("unheard-of", &tally(1_000, 0, 0), &tally(1_000, 900, 0));
+    judge.add("unguarded", &tally(1_000, 0, 0), &tally(1_000, 900, 0));
     judge.add("post", &tally(1_000, 10, 20), &tally(100, 1, 2));
     assert_eq!(judge.verdict(), None, "an equal version, and a class that is not guarded");
     judge.add("post", &tally(1_000, 10, 20), &tally(100, 1, 60));
     let worse = judge.verdict().unwrap();
     assert_eq!((worse.class.as_str(), worse.what), ("post", "late"));
     assert!(worse.to_string().starts_with("post: more late than the old version's, evidence "));
-    // Of many judges each must be surer, so that all of them together keep the rate.
+    // Each of many judges needs stronger evidence, so that together they keep the false alarm rate.
     let mut one_of_many = Judge::new(&guard, 260);
     one_of_many.add("post", &tally(1_000, 10, 0), &tally(20, 6, 0));
     let mut alone = Judge::new(&guard, 1);
@@ -140,9 +142,9 @@
     assert!(alone.verdict().is_some() && one_of_many.verdict().is_none());
 }
 
-/// Answers that come one at a time, the versions never together, are compared all the same.
+/// Answers that arrive one at a time, never of both versions together, are compared all the same.
 #[test]
-fn a_stretch_lasts_until_there_is_something_to_compare() {
+fn a_window_lasts_until_both_versions_have_answers() {
     let mut judge = Judge::new(&plan().guard, 1);
     let one = |erred| Tally { answered: 1, erred, errors: 0, late: 0 };
     let none = Tally::default();
@@ -151,7 +153,7 @@
         judge.add("post", &none, &one(1));
     }
     assert_eq!(judge.verdict().map(|worse| worse.what), Some("errors"));
-    // A stretch that is not over is closed before a decision.
+    // `close` ends the current window before a decision.
     let mut short = Judge::new(&plan().guard, 1);
     for _ in 0..15 {
         short.add("post", &one(0), &none);
--- a/crates/versions/tests/rollouts.rs
+++ b/crates/versions/tests/rollouts.rs
@@ -1,4 +1,4 @@
-//! What one gateway does about its records: loading first, lapsing, braking, coming back.
+//! How one gateway applies its records: loading before the share grows, lease, brake, restart.
 
 mod common;
 
@@ -12,78 +12,85 @@
     (status.share.ten_thousandths(), status.hold)
 }
 
-fn holding(record: &Record) -> Versions {
+fn gateway_with(record: &Record) -> Versions {
     let mut versions = Versions::new("g", 1, 4);
     versions.act(0, record.clone());
     versions
 }
 
 #[test]
-fn a_share_rises_when_the_new_version_stands_or_the_time_for_it_is_over() {
+fn the_share_grows_when_the_new_version_is_loaded_or_the_preload_time_is_over() {
     let record = start();
-    let mut versions = holding(&record);
-    assert_eq!(share(&versions, S), (0, Some(Hold::Loading)));
+    let mut versions = gateway_with(&record);
+    assert_eq!(share(&versions, SECOND), (0, Some(Hold::Loading)));
     let expected = Expected { function: "arrears@8".into(), like: "arrears@7".into() };
-    assert_eq!(versions.expected(S), [expected]);
-    // The old version's loads say nothing of the new one.
+    assert_eq!(versions.expected(SECOND), [expected]);
+    // Loads of the old version don't count.
     versions.loaded("arrears@7", true);
-    assert_eq!(share(&versions, S), (0, Some(Hold::Loading)));
+    assert_eq!(share(&versions, SECOND), (0, Some(Hold::Loading)));
     versions.loaded("arrears@8", true);
-    assert_eq!(share(&versions, S), (100, None));
-    // Without a word of any load, time is enough.
-    assert_eq!(share(&holding(&record), 5 * S), (100, None));
+    assert_eq!(share(&versions, SECOND), (100, None));
+    // Without news of any load, the end of the preload time is enough.
+    assert_eq!(share(&gateway_with(&record), 5 * SECOND), (100, None));
 }
 
 #[test]
-fn a_version_that_can_t_be_loaded_gets_no_calls() {
-    let mut versions = holding(&start());
+fn a_version_that_cannot_be_loaded_gets_no_calls() {
+    let mut versions = gateway_with(&start());
     versions.loaded("arrears@8", false);
-    assert_eq!(share(&versions, 20 * S), (0, Some(Hold::LoadsFail)));
+    assert_eq!(share(&versions, 20 * SECOND), (0, Some(Hold::LoadsFail)));
     versions.loaded("arrears@8", true);
-    assert_eq!(share(&versions, 20 * S), (100, None));
+    assert_eq!(share(&versions, 20 * SECOND), (100, None));
     versions.loaded("arrears@8", false);
-    assert_eq!(share(&versions, 21 * S), (100, None), "one worker without it is no reason to turn back");
+    assert_eq!(
+        share(&versions, 21 * SECOND),
+        (100, None),
+        "a failed load at one worker does not reduce the share"
+    );
 }
 
 #[test]
-fn a_gateway_that_hears_nothing_holds_and_then_goes_back() {
+fn a_gateway_without_contact_keeps_its_share_until_the_lease_expires() {
     let record = start();
-    let mut versions = holding(&record);
+    let mut versions = gateway_with(&record);
     versions.loaded("arrears@8", true);
-    assert_eq!(share(&versions, 30 * S), (100, None));
-    assert_eq!(share(&versions, 30 * S + 1), (0, Some(Hold::Lapsed)));
-    assert!(versions.expected(31 * S).is_empty());
-    assert!(!versions.renew(40 * S, "arrears", Mark::default()), "another order's conductor is none");
-    assert!(versions.renew(40 * S, "arrears", record.mark()));
-    assert_eq!(share(&versions, 41 * S), (100, None), "back at the present step");
-    // What is over needs nobody.
-    versions.act(42 * S, then(&record, Kind::Promote, 2));
-    assert_eq!(share(&versions, 9_000 * S), (10_000, None));
+    assert_eq!(share(&versions, 30 * SECOND), (100, None));
+    assert_eq!(share(&versions, 30 * SECOND + 1), (0, Some(Hold::Lapsed)));
+    assert!(versions.expected(31 * SECOND).is_empty());
+    assert!(
+        !versions.renew(40 * SECOND, "arrears", Mark::default()),
+        "a conductor of another order does not renew the lease"
+    );
+    assert!(versions.renew(40 * SECOND, "arrears", record.mark()));
+    assert_eq!(share(&versions, 41 * SECOND), (100, None), "the current step applies again");
+    // A plan that has ended needs no lease.
+    versions.act(42 * SECOND, then(&record, Kind::Promote, 2));
+    assert_eq!(share(&versions, 9_000 * SECOND), (10_000, None));
 }
 
 #[test]
-fn what_was_read_back_counts_from_when_its_conductor_was_heard() {
+fn the_lease_of_a_restored_record_counts_from_the_last_contact() {
     let record = start();
-    let read = |heard| {
+    let restored = |heard| {
         let mut versions = Versions::new("g", 2, 4);
-        versions.restore(100 * S, heard, record.clone(), None);
-        share(&versions, 106 * S)
+        versions.restore(100 * SECOND, heard, record.clone(), None);
+        share(&versions, 106 * SECOND)
     };
-    assert_eq!(read(90 * S), (100, None));
-    assert_eq!(read(70 * S), (0, Some(Hold::Lapsed)));
-    assert_eq!(read(900 * S), (100, None), "a clock set back is no lease for ever");
+    assert_eq!(restored(90 * SECOND), (100, None));
+    assert_eq!(restored(70 * SECOND), (0, Some(Hold::Lapsed)));
+    assert_eq!(restored(900 * SECOND), (100, None), "a clock that was set back does not extend the lease");
     let mut versions = Versions::new("g", 2, 4);
-    versions.restore(100 * S, 900 * S, record.clone(), None);
-    assert_eq!(share(&versions, 131 * S), (0, Some(Hold::Lapsed)));
+    versions.restore(100 * SECOND, 900 * SECOND, record.clone(), None);
+    assert_eq!(share(&versions, 131 * SECOND), (0, Some(Hold::Lapsed)));
     versions = Versions::new("g", 2, 4);
-    versions.restore(100 * S, 100 * S, record.clone(), Some("as seen".into()));
-    assert_eq!(share(&versions, 106 * S), (0, Some(Hold::Braked("as seen".into()))));
+    versions.restore(100 * SECOND, 100 * SECOND, record.clone(), Some("as seen".into()));
+    assert_eq!(share(&versions, 106 * SECOND), (0, Some(Hold::Braked("as seen".into()))));
 }
 
 #[test]
-fn own_figures_brake_and_only_a_newer_order_lets_go() {
+fn own_counts_brake_the_rollout_until_a_newer_order() {
     let record = then(&then(&start(), Kind::Widen, 2), Kind::Pause, 3);
-    let mut versions = holding(&record);
+    let mut versions = gateway_with(&record);
     versions.loaded("arrears@8", true);
     let answer = |versions: &mut Versions, side, good: u32, bad: u32| {
         (0..good).for_each(|_| versions.answered("arrears", side, "post", End::InTime, false));
@@ -91,41 +98,45 @@
     };
     answer(&mut versions, Side::Old, 900, 2);
     answer(&mut versions, Side::New, 90, 10);
-    assert!(versions.look(S + S / 2).is_empty(), "what comes while it settles is not judged");
+    assert!(versions.look(SECOND + SECOND / 2).is_empty(), "answers within the settle time are not judged");
     answer(&mut versions, Side::Old, 900, 2);
     answer(&mut versions, Side::New, 90, 0);
-    assert!(versions.look(3 * S).is_empty());
+    assert!(versions.look(3 * SECOND).is_empty());
     answer(&mut versions, Side::Old, 900, 2);
     answer(&mut versions, Side::New, 80, 10);
-    assert!(versions.look(3 * S + 1).is_empty(), "not twice within a second");
-    assert_eq!(versions.look(4 * S), ["arrears"]);
-    assert!(matches!(share(&versions, 5 * S), (0, Some(Hold::Braked(_)))));
-    assert!(versions.look(6 * S).is_empty(), "told once");
-    versions.act(7 * S, then(&record, Kind::Resume, 4));
-    assert_eq!(share(&versions, 7 * S), (1_000, None));
+    assert!(versions.look(3 * SECOND + 1).is_empty(), "judged at most once per second");
+    assert_eq!(versions.look(4 * SECOND), ["arrears"]);
+    assert!(matches!(share(&versions, 5 * SECOND), (0, Some(Hold::Braked(_)))));
+    assert!(versions.look(6 * SECOND).is_empty(), "reported once");
+    versions.act(7 * SECOND, then(&record, Kind::Resume, 4));
+    assert_eq!(share(&versions, 7 * SECOND), (1_000, None));
 }
 
 #[test]
-fn the_old_version_is_kept_loaded_for_a_rollback_and_then_let_go() {
+fn the_old_version_is_kept_loaded_for_a_limited_time_after_promotion() {
     let mut record = start();
-    let mut versions = holding(&record);
+    let mut versions = gateway_with(&record);
     versions.loaded("arrears@8", true);
     for id in [2, 3] {
         record = then(&record, Kind::Widen, id);
         versions.act(0, record.clone());
     }
     let old = [Expected { function: "arrears@7".into(), like: "arrears@8".into() }];
-    assert_eq!(versions.expected(S), old, "all calls are the new version's, and a rollback may come");
-    versions.act(2 * S, then(&record, Kind::Promote, 4));
-    assert_eq!(versions.expected(61 * S), old);
-    assert!(versions.expected(62 * S).is_empty());
-    versions.act(63 * S, then(&then(&record, Kind::Promote, 4), Kind::RollBack, 5));
-    assert_eq!(versions.choose(63 * S, "arrears", &account("a")).unwrap().side, Side::Old, "at once");
+    assert_eq!(
+        versions.expected(SECOND),
+        old,
+        "the new version has all calls, and a rollback is still possible"
+    );
+    versions.act(2 * SECOND, then(&record, Kind::Promote, 4));
+    assert_eq!(versions.expected(61 * SECOND), old);
+    assert!(versions.expected(62 * SECOND).is_empty());
+    versions.act(63 * SECOND, then(&then(&record, Kind::Promote, 4), Kind::RollBack, 5));
+    assert_eq!(versions.choose(63 * SECOND, "arrears", &account("a")).unwrap().side, Side::Old, "at once");
 }
 
 #[test]
-fn senseless_records_are_named_and_change_nothing() {
-    let mut versions = holding(&start());
+fn invalid_records_are_rejected_with_a_reason_and_change_nothing() {
+    let mut versions = gateway_with(&start());
     let wrong = |edit: fn(&mut Record)| {
         let mut record = then(&start(), Kind::Widen, 9);
         edit(&mut record);
@@ -144,32 +155,34 @@
     assert!(wrong(|r| r.plan.guard.classes.clear()).contains("names no class"));
     assert!(wrong(|r| r.stage = Stage::Step(7)).contains("Step(7) of a plan with 3 steps"));
     assert!(wrong(|r| r.why = "x".repeat(500)).contains("why has more than"));
-    let before = versions.status(S, None);
-    versions.act(S, Record { stage: Stage::Step(9), ..then(&start(), Kind::Widen, 9) });
-    assert_eq!(versions.status(S, None), before);
+    let before = versions.status(SECOND, None);
+    versions.act(SECOND, Record { stage: Stage::Step(9), ..then(&start(), Kind::Widen, 9) });
+    assert_eq!(versions.status(SECOND, None), before);
 }
 
 #[test]
-fn plans_follow_each_other_and_none_begins_in_the_middle_of_another() {
+fn a_plan_starts_only_after_the_previous_one_has_ended() {
     let first = start();
-    let begin = |old: &str, new: &str, before: &Record| {
+    let start_plan = |old: &str, new: &str, before: &Record| {
         let plan = Plan { old: old.into(), new: new.into(), ..plan() };
         Record::start(plan, Some(before), 9, 0, "", "")
     };
-    assert!(begin("8", "9", &first).unwrap_err().contains("under way, at epoch 1"));
+    assert!(start_plan("8", "9", &first).unwrap_err().contains("under way, at epoch 1"));
     let promoted = then(&first, Kind::Promote, 2);
     assert!(
-        begin("7", "9", &promoted).unwrap_err().contains("runs version \"8\", and the plan's old is \"7\"")
+        start_plan("7", "9", &promoted)
+            .unwrap_err()
+            .contains("runs version \"8\", and the plan's old is \"7\"")
     );
-    assert_eq!(begin("8", "9", &promoted).unwrap().epoch, 3);
+    assert_eq!(start_plan("8", "9", &promoted).unwrap().epoch, 3);
     let back = then(&promoted, Kind::RollBack, 3);
-    assert_eq!(begin("7", "9", &back).unwrap().epoch, 4);
+    assert_eq!(start_plan("7", "9", &back).unwrap().epoch, 4);
     for kind in [Kind::Widen, Kind::Promote, Kind::Pause, Kind::Resume] {
         assert!(back.then(kind, 4, 0, "", "").unwrap_err().contains("rolled back already, at epoch 3"));
     }
 }
 
-/// Orders of two operators, in any order and any number of times at each gateway.
+/// Orders of two operators, some of them conflicting.
 fn orders() -> Vec<Record> {
     let first = start();
     let widened = then(&first, Kind::Widen, 20);
@@ -189,14 +202,14 @@
     })]
 
     #[test]
-    fn in_whatever_order_records_come_all_gateways_end_alike(
-        ways in prop::collection::vec(Just(orders()).prop_shuffle(), 3),
-        again in prop::collection::vec(0usize..8, 0..6),
+    fn gateways_converge_whatever_the_order_of_records(
+        deliveries in prop::collection::vec(Just(orders()).prop_shuffle(), 3),
+        repeats in prop::collection::vec(0usize..8, 0..6),
     ) {
-        let ends: Vec<Record> = ways.iter().map(|way| {
+        let ends: Vec<Record> = deliveries.iter().map(|delivery| {
             let mut versions = Versions::new("g", 1, 3);
             let mut mark = Mark::default();
-            for record in way.iter().chain(again.iter().map(|at| &way[*at])) {
+            for record in delivery.iter().chain(repeats.iter().map(|at| &delivery[*at])) {
                 let weight = versions.weigh(record);
                 assert_eq!(weight == Weight::Newer, record.mark() > mark);
                 assert_eq!(weight == Weight::Same, record.mark() == mark);
@@ -206,6 +219,6 @@
             versions.status(0, None).remove(0).record
         }).collect();
         prop_assert!(ends.iter().all(|end| *end == ends[0]));
-        prop_assert_eq!(ends[0].stage, Stage::RolledBack, "of opposite orders at one epoch the one that pulls back");
+        prop_assert_eq!(ends[0].stage, Stage::RolledBack, "a rollback prevails over other orders of its epoch");
     }
 }
