--- a/crates/versions/src/compare.rs
+++ b/crates/versions/src/compare.rs
@@ -64,12 +64,12 @@
 /// Evidence that more answers differ than tolerated: the mean of the likelihood ratios of several
 /// alternatives. Its expectation is at most one while no more differ than tolerated.
 #[derive(Clone, Copy, Debug)]
-pub struct Differing {
+pub struct DifferenceTest {
     tolerated: f64,
     logs: [f64; MULTIPLES.len()],
 }
 
-impl Differing {
+impl DifferenceTest {
     /// No evidence yet, with this tolerated share of differing answers.
     pub fn new(tolerated: f64) -> Self {
         Self { tolerated, logs: [0.0; MULTIPLES.len()] }
--- a/crates/versions/src/conductor.rs
+++ b/crates/versions/src/conductor.rs
@@ -6,7 +6,7 @@
 
 /// Last report of a gateway.
 #[derive(Clone, Debug, Default)]
-pub struct Heard {
+pub struct GatewayReport {
     /// When the gateway last answered.
     pub at: Option<Micros>,
     /// Its last answer.
@@ -33,7 +33,7 @@
 pub struct Conductor {
     record: Record,
     started_at: Micros,
-    gateways: Vec<Heard>,
+    gateways: Vec<GatewayReport>,
     judge: Judge,
     /// Counts at the last turn, by gateway and process incarnation.
     counted: BTreeMap<(usize, u64), Answers>,
@@ -55,7 +55,7 @@
             judge: Judge::new(&record.plan.guard, 1),
             started_at: now,
             record,
-            gateways: vec![Heard::default(); gateways],
+            gateways: vec![GatewayReport::default(); gateways],
             counted: BTreeMap::new(),
             applied_since: None,
             step_answers: [0; 2],
@@ -71,7 +71,7 @@
     }
 
     /// The last report of each gateway.
-    pub fn gateways(&self) -> &[Heard] {
+    pub fn gateways(&self) -> &[GatewayReport] {
         &self.gateways
     }
 
@@ -93,11 +93,11 @@
     }
 
     /// Takes a gateway's answer, or the error of a request to it.
-    pub fn heard(&mut self, gateway: usize, now: Micros, report: Result<Option<Status>, String>) {
-        let Some(heard) = self.gateways.get_mut(gateway) else { return };
-        match report {
-            Ok(status) => *heard = Heard { at: Some(now), status, error: None },
-            Err(error) => heard.error = Some(error),
+    pub fn heard(&mut self, gateway: usize, now: Micros, result: Result<Option<Status>, String>) {
+        let Some(report) = self.gateways.get_mut(gateway) else { return };
+        match result {
+            Ok(status) => *report = GatewayReport { at: Some(now), status, error: None },
+            Err(error) => report.error = Some(error),
         }
     }
 
@@ -110,7 +110,7 @@
     fn lease_expired(&self, gateway: usize, now: Micros) -> bool {
         let (lease, at) = (self.record.plan.lease, self.gateways[gateway].at);
         // A gateway that never answered may have heard another conductor of this plan just before this one
-        // started.
+        // started, so its lease counts from the start.
         lease > 0 && now > at.unwrap_or(self.started_at).saturating_add(lease)
     }
 
@@ -136,7 +136,7 @@
 
     /// Adopts an order of somebody else that takes precedence.
     fn adopt_newer(&mut self) {
-        let statuses = self.gateways.iter().filter_map(|heard| heard.status.as_ref());
+        let statuses = self.gateways.iter().filter_map(|report| report.status.as_ref());
         let newest = statuses.map(|status| &status.record).max_by_key(|record| record.mark());
         if let Some(newest) = newest.filter(|newest| newest.mark() > self.record.mark()) {
             self.record = newest.clone();
@@ -147,10 +147,10 @@
 
     fn count(&mut self, now: Micros) {
         let mut added = Answers::new();
-        for (at, heard) in self.gateways.iter().enumerate() {
+        for (at, report) in self.gateways.iter().enumerate() {
             // The counts of a gateway that still has an earlier plan belong to that plan.
-            let Some(status) = &heard.status else { continue };
-            if !status.record.plan.is_same(&self.record.plan) {
+            let Some(status) = &report.status else { continue };
+            if !status.record.plan.is_same_plan(&self.record.plan) {
                 continue;
             }
             let counted = self.counted.entry((at, status.life)).or_default();
@@ -187,8 +187,8 @@
     }
 
     fn decide(&mut self, now: Micros, id: u64) {
-        let braked = self.gateways.iter().find_map(|heard| match &heard.status.as_ref()?.hold {
-            Some(Hold::Braked(why)) => Some(format!("{} braked: {why}", heard.status.as_ref()?.gateway)),
+        let braked = self.gateways.iter().find_map(|report| match &report.status.as_ref()?.hold {
+            Some(Hold::Braked(why)) => Some(format!("{} braked: {why}", report.status.as_ref()?.gateway)),
             _ => None,
         });
         if let Some(why) = self.regression().or(braked) {
--- a/crates/versions/src/evidence.rs
+++ b/crates/versions/src/evidence.rs
@@ -13,21 +13,21 @@
 
 use std::collections::BTreeMap;
 
-use crate::{Differing, Guard, Tally};
+use crate::{DifferenceTest, Guard, Tally};
 
 /// Alternatives that the test considers: multiples of the greatest tolerated odds ratio of a bad answer.
-pub const ALTERNATIVES: [f64; 5] = [1.5, 3.0, 10.0, 100.0, 1000.0];
+pub const ALTERNATIVE_ODDS: [f64; 5] = [1.5, 3.0, 10.0, 100.0, 1000.0];
 
 /// Windows with more bad answers than this are ignored, for both versions: each bad answer costs time.
 const MAX_BAD: u64 = 100_000;
 
 /// Evidence that the new version's odds of a bad answer exceed the tolerated multiple of the old version's.
 #[derive(Clone, Debug)]
-pub struct Comparison {
+pub struct OddsTest {
     /// Greatest tolerated odds ratio.
     tolerated: f64,
     /// Logarithms of the products of factors, one per alternative.
-    logs: [f64; ALTERNATIVES.len()],
+    logs: [f64; ALTERNATIVE_ODDS.len()],
 }
 
 /// Number of answers, and of bad ones among them.
@@ -49,10 +49,10 @@
     highest + logs.iter().map(|log| (log - highest).exp()).sum::<f64>().ln()
 }
 
-impl Comparison {
+impl OddsTest {
     /// No evidence yet. Odds up to `tolerated` times the old version's are accepted.
     pub fn new(tolerated: f64) -> Self {
-        Self { tolerated, logs: [0.0; ALTERNATIVES.len()] }
+        Self { tolerated, logs: [0.0; ALTERNATIVE_ODDS.len()] }
     }
 
     /// Adds a window: each version's answers, and the bad ones among them.
@@ -63,7 +63,7 @@
             return;
         }
         let null = log_normalization(new, old, bad, self.tolerated);
-        for (log, times) in self.logs.iter_mut().zip(ALTERNATIVES) {
+        for (log, times) in self.logs.iter_mut().zip(ALTERNATIVE_ODDS) {
             *log +=
                 new_bad as f64 * times.ln() + null - log_normalization(new, old, bad, self.tolerated * times);
         }
@@ -82,19 +82,19 @@
 
 /// Why a version is considered worse.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Worse {
+pub struct Regression {
     /// The class with the strongest evidence.
     pub class: String,
     /// `errors`, `late` or `differing answers`.
-    pub what: &'static str,
+    pub metric: &'static str,
     /// Strength of the evidence: 1000 is reached by chance in at most one of a thousand cases.
     pub evidence: f64,
 }
 
-impl std::fmt::Display for Worse {
+impl std::fmt::Display for Regression {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let Self { class, what, evidence } = self;
-        write!(f, "{class}: more {what} than the old version's, evidence {evidence:.0} to 1")
+        let Self { class, metric, evidence } = self;
+        write!(f, "{class}: more {metric} than the old version's, evidence {evidence:.0} to 1")
     }
 }
 
@@ -103,10 +103,10 @@
 pub struct Judge {
     threshold: f64,
     /// By class: the tests of errors and of late answers.
-    comparisons: BTreeMap<String, [Comparison; 2]>,
+    odds_tests: BTreeMap<String, [OddsTest; 2]>,
     /// By class, counts of the current window, of the old and the new version.
     windows: BTreeMap<String, [Tally; 2]>,
-    differing: Option<Differing>,
+    differing: Option<DifferenceTest>,
 }
 
 /// A window ends once one version has this many answers and the other at least one: with only a few answers
@@ -119,19 +119,19 @@
 impl Judge {
     /// Judges a version; the probability of a false alarm is at most the guard's over `judges` judges.
     pub fn new(guard: &Guard, judges: u32) -> Self {
-        let comparison = || Comparison::new(guard.worse.max(1.0));
-        let both = |class: &String| (class.clone(), [comparison(), comparison()]);
+        let odds_test = || OddsTest::new(guard.worse.max(1.0));
+        let both = |class: &String| (class.clone(), [odds_test(), odds_test()]);
         Self {
             threshold: f64::from(judges.max(1)) / guard.false_alarm,
-            comparisons: guard.classes.iter().map(both).collect(),
+            odds_tests: guard.classes.iter().map(both).collect(),
             windows: BTreeMap::new(),
-            differing: guard.compare.map(|compare| Differing::new(compare.differ)),
+            differing: guard.compare.map(|compare| DifferenceTest::new(compare.differ)),
         }
     }
 
     /// Adds answers to calls of a class.
     pub fn add(&mut self, class: &str, old: &Tally, new: &Tally) {
-        if !self.comparisons.contains_key(class) {
+        if !self.odds_tests.contains_key(class) {
             return;
         }
         let [window_old, window_new] = self.windows.get(class).copied().unwrap_or_default();
@@ -157,7 +157,7 @@
 
     fn compare(&mut self, class: &str) {
         let Some([old, new]) = self.windows.remove(class) else { return };
-        let Some([errors, late]) = self.comparisons.get_mut(class) else { return };
+        let Some([errors, late]) = self.odds_tests.get_mut(class) else { return };
         // A further attempt hides an error from the client, but it still counts as an error of the version.
         errors.add((new.answered, new.erred), (old.answered, old.erred));
         // Calls that were not served count as errors, and neither as late nor as in time.
@@ -166,22 +166,22 @@
     }
 
     /// Why the new version is considered worse, or `None` if it is not.
-    pub fn verdict(&self) -> Option<Worse> {
-        let all = self.comparisons.iter().flat_map(|(class, both)| {
-            both.iter().zip(OUTCOMES).map(move |(one, what)| (class.as_str(), what, one.evidence()))
+    pub fn verdict(&self) -> Option<Regression> {
+        let all = self.odds_tests.iter().flat_map(|(class, both)| {
+            both.iter().zip(OUTCOMES).map(move |(one, metric)| (class.as_str(), metric, one.evidence()))
         });
         let differing = self.differing.map(|differing| ("all", "differing answers", differing.evidence()));
         let (mut sum, mut count) = (0.0, 0.0);
         let mut most = None::<(&str, &'static str, f64)>;
-        for (class, what, evidence) in all.chain(differing) {
+        for (class, metric, evidence) in all.chain(differing) {
             sum += evidence;
             count += 1.0;
             if most.is_none_or(|(.., highest)| evidence > highest) {
-                most = Some((class, what, evidence));
+                most = Some((class, metric, evidence));
             }
         }
-        let (class, what, _) = most.filter(|_| sum / count >= self.threshold)?;
-        Some(Worse { class: class.into(), what, evidence: sum / count })
+        let (class, metric, _) = most.filter(|_| sum / count >= self.threshold)?;
+        Some(Regression { class: class.into(), metric, evidence: sum / count })
     }
 }
 
@@ -192,7 +192,7 @@
 pub fn promised_calls(guard: &Guard, judges: u32, share: f64, bad: (f64, f64)) -> f64 {
     let (old, new) = bad;
     let streams = 2 * guard.classes.len() + usize::from(guard.compare.is_some());
-    let comparisons = (streams * ALTERNATIVES.len()) as f64;
+    let comparisons = (streams * ALTERNATIVE_ODDS.len()) as f64;
     let needed = (f64::from(judges.max(1)) * comparisons / guard.false_alarm).ln();
     // Probability that a bad answer falls to the new version; `under(r)` is the same under an odds ratio of
     // r.
@@ -204,6 +204,6 @@
         rate * (bad_on_new * (greater / tolerated).ln()
             + (1.0 - bad_on_new) * ((1.0 - greater) / (1.0 - tolerated)).ln())
     };
-    let best = ALTERNATIVES.into_iter().map(gain).fold(0.0, f64::max);
+    let best = ALTERNATIVE_ODDS.into_iter().map(gain).fold(0.0, f64::max);
     share * needed / best
 }
--- a/crates/versions/src/lib.rs
+++ b/crates/versions/src/lib.rs
@@ -28,10 +28,10 @@
 pub type Micros = u64;
 
 pub use choice::{Callers, Share, Stick, point};
-pub use compare::{Compare, Differing};
-pub use conductor::{Act, Conductor, Heard};
-pub use evidence::{ALTERNATIVES, Comparison, Judge, Worse, promised_calls};
-pub use plan::{Guard, MOST_STEPS, Plan, Side, Step};
+pub use compare::{Compare, DifferenceTest};
+pub use conductor::{Act, Conductor, GatewayReport};
+pub use evidence::{ALTERNATIVE_ODDS, Judge, OddsTest, Regression, promised_calls};
+pub use plan::{Guard, MAX_STEPS, Plan, Side, Step};
 pub use record::{Kind, Mark, Record, Stage};
-pub use rollout::{Chosen, Expected, Hold, LOOK_EVERY, Versions, Weight};
+pub use rollout::{Expected, Hold, LOOK_EVERY, VersionChoice, Versions, Weight};
 pub use wire::{End, Question, Reply, Status, Tally};
--- a/crates/versions/src/plan.rs
+++ b/crates/versions/src/plan.rs
@@ -7,7 +7,7 @@
 use crate::{Compare, Micros, Share, Stick};
 
 /// Maximum number of steps of a plan; a guard has as many classes at most.
-pub const MOST_STEPS: usize = 100;
+pub const MAX_STEPS: usize = 100;
 const MAX_CLASSES: usize = 100;
 /// Longest name: `function@version` must fit one field of a frame.
 const MAX_NAME: usize = 200;
@@ -108,7 +108,7 @@
     }
 
     /// Whether both records belong to one plan: the same versions and the same assignment of callers.
-    pub fn is_same(&self, other: &Self) -> bool {
+    pub fn is_same_plan(&self, other: &Self) -> bool {
         let of = |plan: &Self| (plan.function.clone(), plan.old.clone(), plan.new.clone(), plan.salt);
         of(self) == of(other)
     }
@@ -144,7 +144,7 @@
         }
         must(self.old != self.new, format!("old and new are both {:?}", self.old));
         must(!self.steps.is_empty(), "there are no steps".into());
-        must(self.steps.len() <= MOST_STEPS, format!("more than {MOST_STEPS} steps"));
+        must(self.steps.len() <= MAX_STEPS, format!("more than {MAX_STEPS} steps"));
         must(
             self.steps.first().is_none_or(|step| step.share > Share::NONE),
             "steps[0]: a share of nothing is no step".into(),
--- a/crates/versions/src/rollout.rs
+++ b/crates/versions/src/rollout.rs
@@ -17,7 +17,7 @@
 
 /// The version that a call gets when it arrives.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Chosen {
+pub struct VersionChoice {
     /// Name under which the call is routed.
     pub routed: String,
     /// Digest that the worker must report; empty: not checked.
@@ -74,8 +74,9 @@
     /// Share in force before the record.
     previous_share: Share,
     braked: Option<String>,
-    /// Whether the new version has been loaded somewhere, and whether a load of it failed before that.
+    /// Whether the new version has been loaded anywhere.
     loaded: bool,
+    /// Whether loads of the new version have failed and none has succeeded.
     load_failed: bool,
     judge: Judge,
     judged_at: Micros,
@@ -164,7 +165,7 @@
         }
         let function = record.plan.function.clone();
         let held = self.rollouts.remove(&function);
-        let same_plan = held.filter(|held| held.record.plan.is_same(&record.plan));
+        let same_plan = held.filter(|held| held.record.plan.is_same_plan(&record.plan));
         for side in [Side::Old, Side::New] {
             self.routed.entry(record.plan.routed(side)).or_default().insert(function.clone());
         }
@@ -220,7 +221,7 @@
     }
 
     /// Assigns a version to an arriving call. `None`: the function has no versions.
-    pub fn choose(&self, now: Micros, function: &str, callers: &Callers) -> Option<Chosen> {
+    pub fn choose(&self, now: Micros, function: &str, callers: &Callers) -> Option<VersionChoice> {
         let rollout = self.rollouts.get(function)?;
         let (plan, share) = (&rollout.record.plan, rollout.share(now).0);
         let gets_new = match plan.stick.key(callers) {
@@ -228,7 +229,7 @@
             None => share == Share::ALL,
         };
         let side = if gets_new { Side::New } else { Side::Old };
-        Some(Chosen { routed: plan.routed(side), digest: plan.digest(side).into(), side })
+        Some(VersionChoice { routed: plan.routed(side), digest: plan.digest(side).into(), side })
     }
 
     /// Counts the final answer to a call with an assigned version; `erred`: an attempt of it ended in an
--- a/crates/versions/src/wire.rs
+++ b/crates/versions/src/wire.rs
@@ -92,7 +92,7 @@
     pub share: Share,
     /// Why that is not the order's share.
     pub hold: Option<Hold>,
-    /// Time since the gateway last heard of the order.
+    /// Time since the gateway last heard of the order's conductor.
     pub unheard: Micros,
     /// Answers since the gateway's start by class, of the old and the new version.
     pub answers: BTreeMap<String, [Tally; 2]>,
--- a/crates/versions/tests/compare.rs
+++ b/crates/versions/tests/compare.rs
@@ -42,7 +42,7 @@
         for differ in 0..=12u64 {
             let ways: f64 = (0..differ).map(|at| (12 - at) as f64 / (at + 1) as f64).product();
             let chance = ways * f64::powi(truth, differ as i32) * f64::powi(1.0 - truth, 12 - differ as i32);
-            let mut evidence = Differing::new(tolerated);
+            let mut evidence = DifferenceTest::new(tolerated);
             evidence.add(12, differ);
             mean += chance * evidence.evidence();
         }
@@ -58,7 +58,7 @@
     judge.compared(1_000, 10);
     assert_eq!(judge.verdict(), None);
     judge.compared(50, 20);
-    assert_eq!(judge.verdict().map(|worse| worse.what), Some("differing answers"));
+    assert_eq!(judge.verdict().map(|worse| worse.metric), Some("differing answers"));
     let mut absurd = Judge::new(&guard, 1);
     absurd.compared(u64::MAX, u64::MAX);
     absurd.compared(3, 9);
--- a/crates/versions/tests/evidence.rs
+++ b/crates/versions/tests/evidence.rs
@@ -26,7 +26,7 @@
             let weight = |k: u64| binomial(new, k) * binomial(old, bad - k) * f64::powi(odds, k as i32);
             let all: f64 = splits.clone().map(weight).sum();
             let factor = |k: u64| {
-                let mut comparison = Comparison::new(tolerated);
+                let mut comparison = OddsTest::new(tolerated);
                 comparison.add((new, k), (old, bad - k));
                 comparison.evidence()
             };
@@ -46,7 +46,7 @@
 
 #[test]
 fn windows_without_a_comparison_and_invalid_counts_are_no_evidence() {
-    let mut comparison = Comparison::new(1.5);
+    let mut comparison = OddsTest::new(1.5);
     for (new, old) in
         [((0, 0), (10, 10)), ((10, 10), (0, 0)), ((10, 0), (10, 0)), ((u64::MAX, u64::MAX), (9, 9))]
     {
@@ -56,7 +56,7 @@
     // A count of bad answers above the count of answers is capped.
     comparison.add((3, 9), (5, 7));
     assert!(comparison.evidence().is_finite());
-    let mut long = Comparison::new(1.0);
+    let mut long = OddsTest::new(1.0);
     long.add((1_000_000, 40_000), (1_000_000, 40_000));
     assert!(long.evidence().is_finite());
 }
@@ -132,7 +132,7 @@
     assert_eq!(judge.verdict(), None, "an equal version, and a class that is not guarded");
     judge.add("post", &tally(1_000, 10, 20), &tally(100, 1, 60));
     let worse = judge.verdict().unwrap();
-    assert_eq!((worse.class.as_str(), worse.what), ("post", "late"));
+    assert_eq!((worse.class.as_str(), worse.metric), ("post", "late"));
     assert!(worse.to_string().starts_with("post: more late than the old version's, evidence "));
     // Each of many judges needs stronger evidence, so that together they keep the false alarm rate.
     let mut one_of_many = Judge::new(&guard, 260);
@@ -152,7 +152,7 @@
         judge.add("post", &one(0), &none);
         judge.add("post", &none, &one(1));
     }
-    assert_eq!(judge.verdict().map(|worse| worse.what), Some("errors"));
+    assert_eq!(judge.verdict().map(|worse| worse.metric), Some("errors"));
     // `close` ends the current window before a decision.
     let mut short = Judge::new(&plan().guard, 1);
     for _ in 0..15 {
@@ -161,5 +161,5 @@
     }
     assert_eq!(short.verdict(), None);
     short.close();
-    assert_eq!(short.verdict().map(|worse| worse.what), Some("errors"));
+    assert_eq!(short.verdict().map(|worse| worse.metric), Some("errors"));
 }
