--- a/crates/cli/tests/connections.rs
+++ b/crates/cli/tests/connections.rs
@@ -175,7 +175,7 @@
     let victim = holders(&bed).into_iter().max_by_key(|id| sockets(id).count()).unwrap();
     let held = sockets(&victim).count() - sockets(holders(&bed).iter().min().unwrap()).count().min(4);
     assert!(Command::new("kill").args(["-9", &victim.to_string()]).status().unwrap().success());
-    bed.logged("a holder of connections is gone");
+    bed.logged("acceptor process exited");
     let mut lost = 0;
     for (n, client) in clients.iter_mut().enumerate() {
         let number = 1_000 + n as u64;
@@ -207,7 +207,7 @@
     let victim = holders(&bed)[0];
     assert!(Command::new("kill").args(["-9", &victim.to_string()]).status().unwrap().success());
     assert!(client.receive_within(PATIENCE).is_err(), "the connection is gone");
-    bed.logged("a holder of connections is gone");
+    bed.logged("acceptor process exited");
     played.ran(attempt, cresswheel_protocol::Ending::Ok);
     // The next holder's connection may have the same place: the answer is not for it.
     let mut next = bed.client();
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,15 +1,15 @@
-//! The gateway as a process: listeners, connections to workers and list, signals. It carries out what the engine
-//! says and decides nothing about calls.
+//! The gateway process: listeners, connections to the workers and the list service, signals. It performs the I/O for
+//! the engine, which makes all decisions about calls.
 
-mod holders;
+mod acceptors;
+mod gateway;
 mod metrics;
 mod saved_list;
 mod settings;
-mod shell;
 mod version_store;
 mod versions;
 mod workers;
 
-pub use holders::HolderCommand;
+pub use acceptors::HolderCommand;
+pub use gateway::{Gateway, Ready, Reload};
 pub use settings::{GatewaySettings, ShellLimits, VersionSettings};
-pub use shell::{Gateway, Ready, Reload};
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The engine's and the shell's counts in the Prometheus text form.
+//! The engine's and the gateway's counts in the Prometheus text format.
 
 use cresswheel_admission::DoorCounts;
 use cresswheel_engine::Engine;
@@ -11,14 +11,14 @@
 
 type Labels = Vec<(&'static str, String)>;
 
-/// What the shell adds to the engine's counts.
-pub struct ShellCounts {
-    /// Of all processes that hold connections.
-    pub doors: Vec<DoorCounts>,
-    pub holders: usize,
-    pub holder_restarts: u64,
-    /// Calls that the intake refused, by class.
-    pub busy: Vec<u64>,
+/// The counts that the engine doesn't have.
+pub struct GatewayCounts {
+    /// One entry for each process that holds client connections.
+    pub client_counts: Vec<DoorCounts>,
+    pub acceptors: usize,
+    pub acceptor_restarts: u64,
+    /// Calls that the intake rejected, by class.
+    pub rejected: Vec<u64>,
     pub waiting: usize,
     pub intake_rate: f64,
     pub worker_connections: usize,
@@ -28,7 +28,7 @@
     pub versions: Vec<VersionStatus>,
 }
 
-pub fn text(engine: &Engine, shell: &ShellCounts) -> String {
+pub fn text(engine: &Engine, gateway: &GatewayCounts) -> String {
     let mut registry = Registry::with_prefix("cresswheel");
     let counts = engine.counters();
     let mut counter = |name: &str, help: &str, values: Vec<(Labels, u64)>| {
@@ -38,7 +38,7 @@
         }
         registry.register(name, help, family);
     };
-    let by = |map: &std::collections::BTreeMap<&'static str, u64>, label: &'static str| {
+    let labelled = |map: &std::collections::BTreeMap<&'static str, u64>, label: &'static str| {
         map.iter().map(|(word, n)| (vec![(label, (*word).to_owned())], *n)).collect::<Vec<_>>()
     };
     let taken = counts.classes.iter().zip(&counts.taken);
@@ -54,39 +54,40 @@
     });
     counter("answers", "Final answers, by class, status and reason", answers.collect());
     let mut turned_away = counts.turned_away.clone();
-    *turned_away.entry("connection-full").or_default() += shell.doors.iter().map(|d| d.refused).sum::<u64>();
-    counter("calls_turned_away", "Calls turned away untaken, by reason", by(&turned_away, "reason"));
-    counter("attempts", "Attempts, by how they ended", by(&counts.attempts, "end"));
-    let busy = counts.classes.iter().zip(&shell.busy).filter(|(_, n)| **n > 0);
-    let busy = busy.map(|(class, n)| (vec![("class", class.clone())], *n)).collect();
-    counter("calls_busy", "Calls refused since they would have waited too long to be started", busy);
+    *turned_away.entry("connection-full").or_default() +=
+        gateway.client_counts.iter().map(|d| d.refused).sum::<u64>();
+    counter("calls_turned_away", "Calls turned away untaken, by reason", labelled(&turned_away, "reason"));
+    counter("attempts", "Attempts, by how they ended", labelled(&counts.attempts, "end"));
+    let rejected = counts.classes.iter().zip(&gateway.rejected).filter(|(_, n)| **n > 0);
+    let rejected = rejected.map(|(class, n)| (vec![("class", class.clone())], *n)).collect();
+    counter("calls_busy", "Calls refused since they would have waited too long to be started", rejected);
     let mut closed = std::collections::BTreeMap::<&str, u64>::new();
-    for (why, count) in shell.doors.iter().flat_map(|door| &door.closed) {
+    for (why, count) in gateway.client_counts.iter().flat_map(|counts| &counts.closed) {
         *closed.entry(why.as_str()).or_default() += count;
     }
     let turned_away = ["full", "address-share"].iter().filter_map(|why| closed.get(why)).sum::<u64>();
     let closed = closed.iter().map(|(why, n)| (vec![("reason", (*why).to_owned())], *n)).collect();
     counter("connections_closed", "Connections that the gateway closed or turned away, by reason", closed);
-    let doors = |count: fn(&DoorCounts) -> u64| shell.doors.iter().map(count).sum::<u64>();
-    let here = |count: fn(&DoorCounts) -> usize| shell.doors.iter().map(count).sum::<usize>();
-    let plain = [
+    let total = |count: fn(&DoorCounts) -> u64| gateway.client_counts.iter().map(count).sum::<u64>();
+    let current = |count: fn(&DoorCounts) -> usize| gateway.client_counts.iter().map(count).sum::<usize>();
+    let counters = [
         ("hold_orders", "Hold orders given", counts.orders),
         ("late_answers", "Answers to attempts that were over", counts.late_answers),
         ("repeats", "Repeats found by their key", counts.repeats),
         ("calls_abandoned", "Calls that every waiter left", counts.abandoned),
         ("results_evicted", "Results dropped early for lack of room", counts.results_evicted),
-        ("accept_starved", "Times that accepting paused for lack of descriptors", shell.accept_starved),
-        ("connections_arrived", "Connections taken", doors(|d| d.arrived)),
+        ("accept_starved", "Times that accepting paused for lack of descriptors", gateway.accept_starved),
+        ("connections_arrived", "Connections taken", total(|d| d.arrived)),
         ("connections_turned_away", "Connections closed at once", turned_away),
-        ("connections_asked_to_leave", "Connections asked to leave", doors(|d| d.asked)),
-        ("pings", "Pings sent to idle connections", doors(|d| d.pings)),
-        ("holder_restarts", "Holders of connections started again", shell.holder_restarts),
+        ("connections_asked_to_leave", "Connections asked to leave", total(|d| d.asked)),
+        ("pings", "Pings sent to idle connections", total(|d| d.pings)),
+        ("holder_restarts", "Holders of connections started again", gateway.acceptor_restarts),
     ];
-    for (name, help, value) in plain {
+    for (name, help, value) in counters {
         counter(name, help, vec![(Vec::new(), value)]);
     }
     let (mut answers, mut wrong) = (Vec::new(), Vec::new());
-    for status in &shell.versions {
+    for status in &gateway.versions {
         let plan = &status.record.plan;
         wrong.push((vec![("function", plan.function.clone())], status.wrong));
         for (class, both) in &status.answers {
@@ -111,7 +112,7 @@
     counter("version_wrong", "Answers of workers that ran something else than they were asked for", wrong);
     let mut per_function = |name: &str, help: &str, value: fn(&VersionStatus) -> i64| {
         let family = Family::<Labels, Gauge>::default();
-        for status in &shell.versions {
+        for status in &gateway.versions {
             family.get_or_create(&vec![("function", status.record.plan.function.clone())]).set(value(status));
         }
         registry.register(name, help, family);
@@ -128,15 +129,15 @@
         ("open_attempts", "Attempts that have not ended", engine.open_attempts()),
         ("result_bytes", "Bytes of results kept", engine.result_bytes()),
         ("workers_listed", "Workers on the list held", engine.workers().count()),
-        ("connections", "Connections of clients", here(|d| d.connections)),
-        ("idle_connections", "Connections of clients without an open call", here(|d| d.idle)),
-        ("half_sent", "Connections with a message that is not whole", here(|d| d.half)),
-        ("holders", "Processes that hold connections", shell.holders),
-        ("calls_waiting", "Calls that wait to be started", shell.waiting),
-        ("intake_rate", "Calls a second that could be started lately", shell.intake_rate as usize),
-        ("worker_connections", "Connections to workers open", shell.worker_connections),
-        ("paused_clients", "Clients not read because they do not read", here(|d| d.stalled)),
-        ("list_stale", "1 while the list service can't be reached", usize::from(shell.list_stale)),
+        ("connections", "Connections of clients", current(|d| d.connections)),
+        ("idle_connections", "Connections of clients without an open call", current(|d| d.idle)),
+        ("half_sent", "Connections with a message that is not whole", current(|d| d.half)),
+        ("holders", "Processes that hold connections", gateway.acceptors),
+        ("calls_waiting", "Calls that wait to be started", gateway.waiting),
+        ("intake_rate", "Calls a second that could be started lately", gateway.intake_rate as usize),
+        ("worker_connections", "Connections to workers open", gateway.worker_connections),
+        ("paused_clients", "Clients not read because they do not read", current(|d| d.stalled)),
+        ("list_stale", "1 while the list service can't be reached", usize::from(gateway.list_stale)),
     ];
     for (name, help, value) in gauges {
         let gauge = Gauge::<i64>::default();
--- a/crates/gateway/src/saved_list/tests.rs
+++ b/crates/gateway/src/saved_list/tests.rs
@@ -2,7 +2,7 @@
 use cresswheel_protocol::Standing;
 
 #[test]
-fn a_list_is_read_back_and_a_damaged_one_is_named() {
+fn a_list_is_read_back_and_a_damaged_file_gives_an_error_with_its_path() {
     let folder = tempfile::tempdir().unwrap();
     let saved = SavedList::new(&folder.path().join("state")).unwrap();
     assert_eq!(saved.read(), Ok(None));
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a gateway process is told at its start.
+//! The settings of a gateway process.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -11,32 +11,32 @@
 /// Everything a gateway process needs.
 #[derive(Clone, Debug)]
 pub struct GatewaySettings {
-    /// Its name in logs, in records and towards its peers.
+    /// Its name in logs and records and for its peers.
     pub name: String,
     /// The engine and the decision module.
     pub engine: EngineSettings,
-    /// Where clients come with the main protocol.
+    /// The listen address for clients that use the main protocol.
     pub listen: SocketAddr,
-    /// Where clients come with HTTP/1.1.
+    /// The listen address for clients that use HTTP/1.1.
     pub http: Option<SocketAddr>,
-    /// Where the worker list is to be had; tried in turn.
+    /// The addresses of the list services; tried in turn.
     pub list: Vec<SocketAddr>,
-    /// Workers that are on no list service.
+    /// Workers that no list service lists.
     pub workers: Vec<Listed>,
-    /// Where the last list is kept; none: nowhere.
+    /// The folder for the last worker list and the version orders; without one neither is stored.
     pub state: Option<PathBuf>,
-    /// Processes that hold the clients' connections; none given: as many as the descriptors ask for, often 0.
+    /// The number of acceptor processes; if not given, as many as the limit on file descriptors requires, often 0.
     pub holders: Option<usize>,
-    /// Orders on versions; none: they are refused.
+    /// Access to version orders; without it they are rejected.
     pub versions: Option<VersionSettings>,
-    /// Bounds of the shell.
+    /// Limits and timeouts of the process's I/O.
     pub shell: ShellLimits,
 }
 
-/// Who may order versions.
+/// Access to version orders.
 #[derive(Clone, PartialEq, Eq)]
 pub struct VersionSettings {
-    /// What orders must carry; empty: nothing, whoever reaches the gateway may order.
+    /// The key that orders must carry; if empty, anyone who can connect to the gateway may send orders.
     pub key: String,
 }
 
@@ -46,22 +46,22 @@
     }
 }
 
-/// Bounds of the shell.
+/// Limits and timeouts of the process's I/O.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShellLimits {
-    /// Of clients and of sockets; the connections are those of all processes together.
+    /// Limits of clients and sockets; that of connections is for all processes together.
     pub clients: ClientTerms,
-    /// Of calls that wait to be started.
+    /// Limits of calls that wait to be started.
     pub intake: IntakeLimits,
-    /// Connections to one worker.
+    /// Maximum number of connections to one worker.
     pub worker_connections: usize,
-    /// Attempts and orders that one such connection carries at once.
+    /// Maximum number of attempts and orders in flight on one such connection.
     pub worker_streams: usize,
-    /// A worker connection on which nothing is out is closed after this.
+    /// A worker connection with nothing in flight is closed after this.
     pub worker_idle: Micros,
-    /// After TERM calls may finish for this long.
+    /// After SIGTERM calls may finish for this long.
     pub stop_within: Micros,
-    /// Wait before the list service is tried again.
+    /// Delay before the next attempt to connect to a list service.
     pub list_retry: Micros,
 }
 
@@ -81,13 +81,13 @@
 }
 
 impl GatewaySettings {
-    /// What the classes say of themselves, for the intake.
+    /// The latency objective and value of each class, for the intake.
     pub fn class_terms(&self) -> Vec<Terms> {
         let classes = self.engine.module.classes.iter();
         classes.map(|class| Terms { aim: class.aim, worth: class.worth }).collect()
     }
 
-    /// What differs between two settings and can't change in a running gateway.
+    /// The settings that differ and can't change in a running gateway.
     pub fn fixed_differences(&self, other: &Self) -> Vec<&'static str> {
         let same = [
             ("name", self.name == other.name),
--- a/crates/gateway/src/versions.rs
+++ b/crates/gateway/src/versions.rs
@@ -1,4 +1,4 @@
-//! The gateway's part in versions: takes orders, writes them down, acts on them; `cresswheel_versions` decides.
+//! The gateway's part in versions: receives, stores and applies version orders. `cresswheel_versions` decides.
 
 use std::collections::HashMap;
 use std::path::Path;
@@ -10,93 +10,96 @@
     Weight,
 };
 
-use crate::version_store::{Kept, VersionStore};
+use crate::version_store::{FunctionState, VersionStore};
 
-/// For how long a function is told to be expected: a look may come late.
-pub const EXPECTED_FOR: Micros = 3 * LOOK_EVERY;
+/// How long the engine expects calls of a function after each check; more than the interval, since a check may be
+/// late.
+pub const EXPECTATION_TTL: Micros = 3 * LOOK_EVERY;
 
-/// Versions at one gateway.
-pub struct Desk {
+/// The versions of one gateway.
+pub struct VersionController {
     versions: Versions,
-    /// Without one no orders are taken.
+    /// Without a store, version orders are rejected.
     store: Option<VersionStore>,
-    /// What orders must carry; empty: nothing.
-    key: String,
-    life: u64,
-    look_at: Micros,
-    /// Calls that both versions run, by a number of their own; who waits for the new version's answer.
-    pairs: HashMap<u64, Pair>,
-    waits: HashMap<Client, u64>,
-    pair: u64,
+    /// The key that orders must carry; empty: none is required.
+    order_key: String,
+    incarnation: u64,
+    next_check: Micros,
+    /// Calls that both versions run, by a number of their own.
+    comparisons: HashMap<u64, Comparison>,
+    /// The comparisons that wait for the answer to the client's call.
+    comparison_of_client: HashMap<Client, u64>,
+    last_comparison: u64,
 }
 
-/// The connection of twins: clients' numbers come nowhere near it.
-pub const TWIN: u64 = u64::MAX;
-/// Most pairs whose answers are waited for, and for how long.
-const MOST_PAIRS: usize = 500;
-const PAIR_FOR: Micros = 60_000_000;
+/// The connection number of shadow calls, which no client connection has.
+pub const SHADOW_CONNECTION: u64 = u64::MAX;
+/// Maximum number of open comparisons.
+const MAX_COMPARISONS: usize = 500;
+/// A comparison that still lacks an answer is dropped after this.
+const COMPARISON_TIMEOUT: Micros = 60_000_000;
 
-/// The answers to one call, of the new version and of the old.
-struct Pair {
+/// The answers of the new and the old version to one call.
+struct Comparison {
     function: String,
-    compare: Compare,
-    since: Micros,
+    criteria: Compare,
+    started_at: Micros,
     answers: [Option<Answer>; 2],
 }
 
-/// Whether two keys are the same, without telling by the time it takes how much of them is.
-fn same(a: &str, b: &str) -> bool {
+/// Compares two keys in a time that doesn't reveal how many bytes match.
+fn constant_time_eq(a: &str, b: &str) -> bool {
     let differ = a.bytes().zip(b.bytes()).fold(0, |differ, (a, b)| differ | (a ^ b));
     a.len() == b.len() && differ == 0
 }
 
-impl Desk {
-    /// Reads back what was ordered. `orders`: the key that orders must carry, and where they are written.
+impl VersionController {
+    /// Restores the stored orders. `orders`: the key that orders must carry, and the folder that stores them.
     pub fn open(
         orders: Option<(String, &Path)>,
         name: &str,
-        life: u64,
+        incarnation: u64,
         gateways: u32,
         now: Micros,
     ) -> Result<Self, String> {
-        let mut versions = Versions::new(name, life, gateways);
+        let mut versions = Versions::new(name, incarnation, gateways);
         let (key, folder) = orders.unzip();
         let store = folder.map(VersionStore::open).transpose()?;
-        for Kept { record, heard, braked } in
-            store.iter().map(VersionStore::held).collect::<Result<Vec<_>, _>>()?.concat()
+        for FunctionState { record, heard, braked } in
+            store.iter().map(VersionStore::load).collect::<Result<Vec<_>, _>>()?.concat()
         {
             let (function, epoch, stage) = (&record.plan.function, record.epoch, record.stage);
-            tracing::info!(%function, epoch, ?stage, "goes on with the version orders of its last life");
+            tracing::info!(%function, epoch, ?stage, "version orders restored");
             versions.restore(now, heard, record, braked);
         }
         Ok(Self {
             versions,
             store,
-            key: key.unwrap_or_default(),
-            life,
-            look_at: now,
-            pairs: HashMap::new(),
-            waits: HashMap::new(),
-            pair: 0,
+            order_key: key.unwrap_or_default(),
+            incarnation,
+            next_check: now,
+            comparisons: HashMap::new(),
+            comparison_of_client: HashMap::new(),
+            last_comparison: 0,
         })
     }
 
-    /// Names a call, here and nowhere else: two calls of one connection differ in their number.
-    fn name(&self, client: Client) -> String {
-        format!("{:x}-{:x}-{:x}", self.life, client.connection, client.number)
+    /// A unique id of a call: incarnation of this process, connection, and number on the connection.
+    fn call_id(&self, client: Client) -> String {
+        format!("{:x}-{:x}-{:x}", self.incarnation, client.connection, client.number)
     }
 
-    /// The version that a call gets, as it arrives.
-    pub fn choose(&self, now: Micros, call: &Call, client: Client) -> Option<Route> {
-        // Most functions have no plan, and their calls need no name.
+    /// Chooses the version for a call that arrives.
+    pub fn choose_version(&self, now: Micros, call: &Call, client: Client) -> Option<Route> {
+        // Most functions have no plan, and their calls need no id.
         self.versions.heard(&call.function)?;
-        let own = self.name(client);
+        let call_id = self.call_id(client);
         let callers = Callers {
             tenant: &call.tenant,
             account: call.account.as_deref().unwrap_or_default(),
             key: &call.key,
             trace: &call.trace,
-            call: &own,
+            call: &call_id,
         };
         let chosen = self.versions.choose(now, &call.function, &callers)?;
         Some(Route {
@@ -107,8 +110,8 @@
         })
     }
 
-    /// A call that was given a version is over.
-    pub fn over(&mut self, call: &Call, status: Status, late: bool, erred: bool) {
+    /// Records how a call that was routed to a version ended.
+    pub fn record_end(&mut self, call: &Call, status: Status, late: bool, erred: bool) {
         let Some(route) = call.route.as_ref().filter(|route| !route.twin) else { return };
         let side = if route.new { Side::New } else { Side::Old };
         let end = match (status, late) {
@@ -119,74 +122,80 @@
         self.versions.answered(&call.function, side, &call.class, end, erred);
     }
 
-    /// The same call for the old version, if its answer is to be compared with that of the new one: a safe call
-    /// that nobody fetches later, and not the client's to repeat.
-    pub fn twin(&mut self, now: Micros, call: &Call, client: Client) -> Option<(Client, Call)> {
+    /// The shadow call to the old version, if the answers of both versions are to be compared. Deferred calls get
+    /// none. A shadow call has no idempotency key.
+    pub fn shadow_call(&mut self, now: Micros, call: &Call, client: Client) -> Option<(Client, Call)> {
         let route = call.route.as_ref().filter(|route| route.new && !call.deferred)?;
         let (plan, compare) = self.versions.compare(&call.function)?;
-        if self.pairs.len() >= MOST_PAIRS || !compare.takes(plan.salt, &self.name(client)) {
+        if self.comparisons.len() >= MAX_COMPARISONS || !compare.takes(plan.salt, &self.call_id(client)) {
             return None;
         }
         let (function, digest) = (plan.routed(Side::Old), plan.digest(Side::Old).to_owned());
         let route = Route { function, digest, twin: true, new: !route.new };
         let trace = if call.trace.is_empty() { String::new() } else { format!("{}~twin", call.trace) };
-        self.pair += 1;
-        let pair = Pair { function: call.function.clone(), compare, since: now, answers: [None, None] };
-        self.pairs.insert(self.pair, pair);
-        self.waits.insert(client, self.pair);
-        let twin = Call { key: String::new(), trace, route: Some(route), ..call.clone() };
-        Some((Client { connection: TWIN, number: self.pair }, twin))
+        self.last_comparison += 1;
+        let comparison = Comparison {
+            function: call.function.clone(),
+            criteria: compare,
+            started_at: now,
+            answers: [None, None],
+        };
+        self.comparisons.insert(self.last_comparison, comparison);
+        self.comparison_of_client.insert(client, self.last_comparison);
+        let shadow = Call { key: String::new(), trace, route: Some(route), ..call.clone() };
+        Some((Client { connection: SHADOW_CONNECTION, number: self.last_comparison }, shadow))
     }
 
-    /// An answer, to a client or to a twin; true for a twin's, which nobody else waits for.
-    pub fn compare(&mut self, client: Client, answer: &Answer) -> bool {
-        let twin = client.connection == TWIN;
-        let pair = if twin { Some(client.number) } else { self.waits.remove(&client) };
-        let Some(pair) = pair else { return twin };
-        let Some(entry) = self.pairs.get_mut(&pair) else { return twin };
-        entry.answers[usize::from(twin)] = Some(answer.clone());
-        if let [Some(a), Some(b)] = &entry.answers {
-            // One that was not served has nothing to compare; errors are judged by themselves.
+    /// Records the answer to a client's call or to a shadow call; true for a shadow call, whose answer goes to no
+    /// client.
+    pub fn record_answer(&mut self, client: Client, answer: &Answer) -> bool {
+        let is_shadow = client.connection == SHADOW_CONNECTION;
+        let number = if is_shadow { Some(client.number) } else { self.comparison_of_client.remove(&client) };
+        let Some(number) = number else { return is_shadow };
+        let Some(comparison) = self.comparisons.get_mut(&number) else { return is_shadow };
+        comparison.answers[usize::from(is_shadow)] = Some(answer.clone());
+        if let [Some(a), Some(b)] = &comparison.answers {
+            // Only served answers are compared; errors are evaluated separately.
             if a.status == Status::Served && b.status == Status::Served {
-                let same = entry.compare.same(&a.body, &b.body);
-                self.versions.compared(&entry.function, same);
+                let is_same = comparison.criteria.same(&a.body, &b.body);
+                self.versions.compared(&comparison.function, is_same);
             }
-            self.pairs.remove(&pair);
+            self.comparisons.remove(&number);
         }
-        twin
+        is_shadow
     }
 
-    /// A worker said what it ran.
-    pub fn ran(&mut self, call: &Call, origin: Option<&Origin>, wrong: bool) {
+    /// Records which version a worker ran.
+    pub fn record_run(&mut self, call: &Call, origin: Option<&Origin>, wrong: bool) {
         let Some(route) = &call.route else { return };
         let digest = origin.map_or("untold", |origin| &origin.digest);
         self.versions.ran(&call.function, &route.function, digest, wrong);
         if wrong {
             let (asked, told) = (&route.function, origin.map(|o| format!("{} {}", o.function, o.digest)));
-            tracing::warn!(%asked, wanted = %route.digest, ?told, "a worker ran another version than it was asked for");
+            tracing::warn!(%asked, wanted = %route.digest, ?told, "worker ran a version other than the one requested");
         }
     }
 
-    /// A load order was answered.
-    pub fn loaded(&mut self, routed: &str, stands: bool) {
+    /// Records the answer to a prewarm order.
+    pub fn record_load(&mut self, routed: &str, is_loaded: bool) {
         if !self.versions.is_empty() {
-            self.versions.loaded(routed, stands);
+            self.versions.loaded(routed, is_loaded);
         }
     }
 
-    /// The answer to a question, or what became of an order.
-    pub fn answer(&mut self, now: Micros, key: &str, json: &[u8]) -> Vec<u8> {
-        let reply = self.reply(now, key, json).unwrap_or_else(Reply::Refused);
+    /// Handles a request about versions and returns the reply as JSON.
+    pub fn handle_request(&mut self, now: Micros, key: &str, json: &[u8]) -> Vec<u8> {
+        let reply = self.execute(now, key, json).unwrap_or_else(Reply::Refused);
         serde_json::to_vec(&reply).unwrap_or_default()
     }
 
-    fn reply(&mut self, now: Micros, key: &str, json: &[u8]) -> Result<Reply, String> {
+    fn execute(&mut self, now: Micros, key: &str, json: &[u8]) -> Result<Reply, String> {
         let Some(store) = &self.store else {
             return Err(
                 "this gateway takes no version orders: there is no versions(...) in its settings".into()
             );
         };
-        if !same(key, &self.key) {
+        if !constant_time_eq(key, &self.order_key) {
             return Err("the order key is not this gateway's".into());
         }
         let question = serde_json::from_slice(json).map_err(|error| format!("not understood: {error}"))?;
@@ -200,11 +209,11 @@
                 if self.versions.renew(now, &function, mark)
                     && let Some((record, heard, braked)) = self.versions.heard(&function)
                 {
-                    // Written now and then: a restart may think it heard a little less than it did.
+                    // Stored only every quarter of a lease: after a restart the lease may end a little earlier.
                     let lease = record.plan.lease;
                     if before.is_some_and(|before| before / (lease / 4).max(1) != heard / (lease / 4).max(1))
                     {
-                        store.put(&Kept {
+                        store.put(&FunctionState {
                             record: record.clone(),
                             heard,
                             braked: braked.map(str::to_owned),
@@ -217,15 +226,15 @@
                 let function = record.plan.function.clone();
                 match self.versions.weigh(&record) {
                     Weight::Wrong(why) => return Err(why),
-                    // A repeat of what holds, or of what was overruled: the status says which.
+                    // A repeat of the current order or of a superseded one: the status tells which.
                     Weight::Same | Weight::Older => {}
                     Weight::Newer => {
-                        store.put(&Kept { record: (*record).clone(), heard: now, braked: None })?;
+                        store.put(&FunctionState { record: (*record).clone(), heard: now, braked: None })?;
                         let (epoch, kind, by, why) =
                             (record.epoch, record.kind.word(), &record.by, &record.why);
                         tracing::info!(%function, epoch, kind, stage = ?record.stage, %by, %why, "version order");
                         self.versions.act(now, *record);
-                        self.look_at = now;
+                        self.next_check = now;
                     }
                 }
                 status(&self.versions, &function)
@@ -233,33 +242,34 @@
         }
     }
 
-    /// When [`Desk::look`] is wanted next.
+    /// When [`VersionController::check`] is due next.
     pub fn next_due(&self) -> Option<Micros> {
-        (!self.versions.is_empty()).then_some(self.look_at)
+        (!self.versions.is_empty()).then_some(self.next_check)
     }
 
-    /// Judges by own figures; tells which functions are to be kept loaded.
-    pub fn look(&mut self, now: Micros) -> Vec<Expected> {
-        if self.versions.is_empty() || now < self.look_at {
+    /// Evaluates this gateway's own counts; returns the functions that are to be kept loaded.
+    pub fn check(&mut self, now: Micros) -> Vec<Expected> {
+        if self.versions.is_empty() || now < self.next_check {
             return Vec::new();
         }
-        self.look_at = now + LOOK_EVERY;
-        // A client that left gets no answer.
-        self.pairs.retain(|_, pair| now < pair.since.saturating_add(PAIR_FOR));
-        let pairs = &self.pairs;
-        self.waits.retain(|_, pair| pairs.contains_key(pair));
+        self.next_check = now + LOOK_EVERY;
+        // A call whose client disconnected gets no answer.
+        self.comparisons
+            .retain(|_, comparison| now < comparison.started_at.saturating_add(COMPARISON_TIMEOUT));
+        let comparisons = &self.comparisons;
+        self.comparison_of_client.retain(|_, number| comparisons.contains_key(number));
         for function in self.versions.look(now) {
             let Some((record, heard, Some(why))) = self.versions.heard(&function) else { continue };
-            tracing::error!(%function, %why, "the new version is held to be worse: the old one takes all calls here");
-            let kept = Kept { record: record.clone(), heard, braked: Some(why.to_owned()) };
-            if let Some(Err(error)) = self.store.as_ref().map(|store| store.put(&kept)) {
-                tracing::error!(%error, "the brake is not written down: a restart would forget it");
+            tracing::error!(%function, %why, "the new version was judged worse: this gateway routes all calls to the old one");
+            let state = FunctionState { record: record.clone(), heard, braked: Some(why.to_owned()) };
+            if let Some(Err(error)) = self.store.as_ref().map(|store| store.put(&state)) {
+                tracing::error!(%error, "the local rollback could not be stored: a restart would undo it");
             }
         }
         self.versions.expected(now)
     }
 
-    /// What holds for all functions.
+    /// The status of all functions.
     pub fn status(&self, now: Micros) -> Vec<VersionStatus> {
         self.versions.status(now, None)
     }
--- a/crates/gateway/src/workers.rs
+++ b/crates/gateway/src/workers.rs
@@ -1,7 +1,7 @@
-//! Connections to workers: attempts and orders out, answers in.
+//! Connections to workers: sends attempts and orders, receives answers.
 //!
-//! What is decided about workers is the engine's. Here it is known where each listed worker is, and whether one whose
-//! new connection does not come up was heard on another meanwhile.
+//! The engine makes the decisions about workers. This module knows the address of each listed worker, and whether a
+//! worker whose new connection could not be established has sent something on another connection meanwhile.
 
 use std::net::SocketAddr;
 
@@ -12,182 +12,197 @@
 use cresswheel_transport::{Connection, Hub};
 use foldhash::{HashMap, HashMapExt, HashSet};
 
-/// When a connection was opened, and when something was heard on it last.
+/// When a connection was opened, and when something was last received on it.
 #[derive(Clone, Copy, Debug)]
-struct Times {
-    opened: Micros,
-    heard: Micros,
+struct Activity {
+    opened_at: Micros,
+    last_received: Micros,
 }
 
-/// All workers.
+/// The listed workers and the connections to them.
 pub struct Workers {
-    carriers: Carriers,
+    pool: Carriers,
     limits: CarrierLimits,
-    /// What a connection begins with.
+    /// The first message on each connection.
     hello: Message,
     addresses: HashMap<WorkerId, SocketAddr>,
-    times: HashMap<Connection, Times>,
+    activity: HashMap<Connection, Activity>,
 }
 
 impl Workers {
     pub fn new(limits: CarrierLimits, hello: Message) -> Self {
-        let (carriers, addresses, times) = (Carriers::default(), HashMap::new(), HashMap::new());
-        Self { carriers, limits, hello, addresses, times }
+        let (pool, addresses, activity) = (Carriers::default(), HashMap::new(), HashMap::new());
+        Self { pool, limits, hello, addresses, activity }
     }
 
-    /// New bounds, for what is handed over from now on.
-    pub fn change(&mut self, limits: CarrierLimits, hello: Message) {
+    /// Sets limits and hello message for what is dispatched from now on.
+    pub fn set_limits(&mut self, limits: CarrierLimits, hello: Message) {
         (self.limits, self.hello) = (limits, hello);
     }
 
-    /// Connections to workers.
+    /// The number of connections to workers.
     pub fn connections(&self) -> usize {
-        self.carriers.connections()
+        self.pool.connections()
     }
 
-    /// Whether it is a connection to a worker.
-    pub fn is_ours(&self, connection: Connection) -> bool {
-        self.carriers.is_ours(connection)
+    /// Whether this is a connection to a worker.
+    pub fn is_worker_connection(&self, connection: Connection) -> bool {
+        self.pool.is_ours(connection)
     }
 
-    /// Takes the list over, all of it or changes. What had not left for workers that drain or are gone is taken back.
-    pub fn take_list(&mut self, hub: &mut Hub, whole: bool, listed: &[Listed]) -> Vec<Input> {
+    /// Applies a whole list or its changes. Returns the unsent attempts and orders of workers that drain or were
+    /// removed, which are canceled.
+    pub fn apply_list(&mut self, event_loop: &mut Hub, whole: bool, listed: &[Listed]) -> Vec<Input> {
         let mut ended = Vec::new();
         if whole {
-            let named: HashSet<&str> = listed.iter().map(|worker| worker.id.as_str()).collect();
-            let gone: Vec<_> = self.addresses.keys().filter(|id| !named.contains(&*id.0)).cloned().collect();
-            gone.iter().for_each(|id| ended.extend(self.gone(hub, id)));
+            let listed_ids: HashSet<&str> = listed.iter().map(|worker| worker.id.as_str()).collect();
+            let removed: Vec<_> =
+                self.addresses.keys().filter(|id| !listed_ids.contains(&*id.0)).cloned().collect();
+            removed.iter().for_each(|id| ended.extend(self.remove(event_loop, id)));
         }
         for worker in listed {
             let id = WorkerId::from(worker.id.as_str());
             let Ok(address) = worker.address.parse::<SocketAddr>() else {
                 tracing::warn!(worker = %id, address = %worker.address, "the list gives no usable address");
-                ended.extend(self.gone(hub, &id));
+                ended.extend(self.remove(event_loop, &id));
                 continue;
             };
             if worker.standing == Standing::Out {
-                ended.extend(self.gone(hub, &id));
+                ended.extend(self.remove(event_loop, &id));
                 continue;
             }
-            let before = self.addresses.insert(id.clone(), address);
+            let previous = self.addresses.insert(id.clone(), address);
             if worker.standing == Standing::Draining {
-                ended.extend(self.carriers.withdraw_all(hub, &id));
+                ended.extend(self.pool.withdraw_all(event_loop, &id));
             }
-            if before.is_some_and(|before| before != address) {
-                ended.extend(self.carriers.withdraw_all(hub, &id));
-                self.carriers.all_leaving(&id);
+            if previous.is_some_and(|previous| previous != address) {
+                ended.extend(self.pool.withdraw_all(event_loop, &id));
+                self.pool.all_leaving(&id);
             }
         }
         ended
     }
 
-    fn gone(&mut self, hub: &mut Hub, id: &WorkerId) -> Vec<Input> {
+    fn remove(&mut self, event_loop: &mut Hub, id: &WorkerId) -> Vec<Input> {
         self.addresses.remove(id);
-        let ended = self.carriers.withdraw_all(hub, id);
-        self.carriers.all_leaving(id);
+        let ended = self.pool.withdraw_all(event_loop, id);
+        self.pool.all_leaving(id);
         ended
     }
 
-    /// Hands an attempt or an order to a connection to its worker; false: none is to be had.
-    pub fn hand(&mut self, hub: &mut Hub, worker: &WorkerId, cargo: Cargo, message: &Message) -> bool {
+    /// Sends an attempt or an order on a connection to its worker; false if no connection is available.
+    pub fn dispatch(
+        &mut self,
+        event_loop: &mut Hub,
+        worker: &WorkerId,
+        cargo: Cargo,
+        message: &Message,
+    ) -> bool {
         let Some(address) = self.addresses.get(worker).copied() else { return false };
-        let now = hub.clock().now();
+        let now = event_loop.clock().now();
         let hello = &self.hello;
-        let begin = |out: &mut Vec<u8>| encode(hello, out);
-        let frame = |out: &mut Vec<u8>| encode(message, out);
-        let to = (worker, address);
-        let given = self.carriers.give(hub, &self.limits, to, (cargo, frame), |_| true, begin);
-        let Some(connection) = given else { return false };
-        self.times.entry(connection).or_insert(Times { opened: now, heard: now });
+        let write_hello = |out: &mut Vec<u8>| encode(hello, out);
+        let write_frame = |out: &mut Vec<u8>| encode(message, out);
+        let target = (worker, address);
+        let connection =
+            self.pool.give(event_loop, &self.limits, target, (cargo, write_frame), |_| true, write_hello);
+        let Some(connection) = connection else { return false };
+        self.activity.entry(connection).or_insert(Activity { opened_at: now, last_received: now });
         true
     }
 
-    /// Tells a worker something that is no attempt or order, if a connection stands.
-    pub fn tell(&mut self, hub: &mut Hub, worker: &WorkerId, message: &Message) {
-        self.carriers.tell(hub, worker, |out| encode(message, out));
+    /// Sends a message that is neither an attempt nor an order, if a connection is established.
+    pub fn send_if_connected(&mut self, event_loop: &mut Hub, worker: &WorkerId, message: &Message) {
+        self.pool.tell(event_loop, worker, |out| encode(message, out));
     }
 
-    /// Takes an attempt back if no byte of it has left; true: that was so.
-    pub fn withdraw(&mut self, hub: &mut Hub, attempt: u64) -> bool {
-        self.carriers.withdraw(hub, attempt)
+    /// Cancels an attempt if no byte of it has been sent; returns whether it was canceled.
+    pub fn cancel_unsent(&mut self, event_loop: &mut Hub, attempt: u64) -> bool {
+        self.pool.withdraw(event_loop, attempt)
     }
 
-    /// Tells the worker that an attempt is called off.
-    pub fn call_off(&mut self, hub: &mut Hub, attempt: u64) {
+    /// Asks the worker to cancel an attempt.
+    pub fn cancel_attempt(&mut self, event_loop: &mut Hub, attempt: u64) {
         let message = Message::CancelRun { attempt };
-        self.carriers.call_off(hub, attempt, |out| encode(&message, out));
+        self.pool.call_off(event_loop, attempt, |out| encode(&message, out));
     }
 
-    /// A connection stands.
-    pub fn stands(&mut self, hub: &Hub, connection: Connection) {
-        self.carriers.stands(connection);
-        self.heard(hub, connection);
+    /// Records that a connection was established.
+    pub fn connected(&mut self, event_loop: &Hub, connection: Connection) {
+        self.pool.stands(connection);
+        self.record_received(event_loop, connection);
     }
 
-    fn heard(&mut self, hub: &Hub, connection: Connection) {
-        let now = hub.clock().now();
-        self.times.entry(connection).and_modify(|times| times.heard = now);
+    fn record_received(&mut self, event_loop: &Hub, connection: Connection) {
+        let now = event_loop.clock().now();
+        self.activity.entry(connection).and_modify(|activity| activity.last_received = now);
     }
 
-    /// A message came from a worker: what it ends.
-    pub fn message(&mut self, hub: &Hub, connection: Connection, message: Message) -> Option<Input> {
-        self.heard(hub, connection);
+    /// Handles a message of a worker; returns the engine's input for what it ends.
+    pub fn handle_message(
+        &mut self,
+        event_loop: &Hub,
+        connection: Connection,
+        message: Message,
+    ) -> Option<Input> {
+        self.record_received(event_loop, connection);
         match message {
             Message::Ran { attempt, ending, crowd, body, origin } => {
-                let number = self.answered(hub, connection, attempt);
+                let number = self.complete(event_loop, connection, attempt);
                 Some(Input::AttemptEnded(number, AttemptEnd::Answered(ending, crowd), body, origin))
             }
             Message::Held { order, ending, standing } => {
-                let number = self.answered(hub, connection, order);
+                let number = self.complete(event_loop, connection, order);
                 Some(Input::OrderEnded(number, OrderEnd::Answered(ending), standing))
             }
-            Message::Probed { .. } => self.carriers.worker(connection).map(Input::Probed),
+            Message::Probed { .. } => self.pool.worker(connection).map(Input::Probed),
             Message::GoingAway { .. } => {
-                self.carriers.leaving(connection);
+                self.pool.leaving(connection);
                 None
             }
             Message::Bye { reason } => {
-                tracing::warn!(%reason, "a worker refuses");
+                tracing::warn!(%reason, "worker reported a protocol violation");
                 None
             }
             _ => None,
         }
     }
 
-    /// What an answer answers. On another connection than the attempt's it is an answer to nothing.
-    fn answered(&mut self, hub: &Hub, connection: Connection, number: u64) -> u64 {
-        let number = if self.carriers.carries(connection, number) { number } else { 0 };
-        self.carriers.done(hub, number);
+    /// Completes the attempt or order of an answer and returns its number; 0 if the answer came on a connection other
+    /// than the one it was sent on.
+    fn complete(&mut self, event_loop: &Hub, connection: Connection, number: u64) -> u64 {
+        let number = if self.pool.carries(connection, number) { number } else { 0 };
+        self.pool.done(event_loop, number);
         number
     }
 
-    /// A connection is gone: how each attempt and order on it ended. One that never stood tells nothing of a worker
-    /// that was heard on another meanwhile.
-    pub fn closed(
+    /// Handles a closed connection; returns how each attempt and order on it ended. A connection that was never
+    /// established is no evidence against a worker that sent something on another one meanwhile.
+    pub fn handle_closed(
         &mut self,
         connection: Connection,
         never_stood: bool,
         unsent: &[u64],
         why: &str,
     ) -> Vec<Input> {
-        let opened = self.times.remove(&connection).map(|times| times.opened);
-        let was_heard = opened.is_some_and(|opened| self.was_heard(connection, opened));
-        let ended = self.carriers.closed(connection, never_stood && !was_heard, unsent);
+        let opened = self.activity.remove(&connection).map(|activity| activity.opened_at);
+        let received_since = opened.is_some_and(|opened| self.received_since(connection, opened));
+        let ended = self.pool.closed(connection, never_stood && !received_since, unsent);
         if !ended.is_empty() {
-            tracing::info!(%why, never_stood, ended = ended.len(), "a worker connection ended");
+            tracing::info!(%why, never_stood, ended = ended.len(), "worker connection closed");
         }
         ended
     }
 
-    /// Whether the worker of a connection said something on another one since then.
-    fn was_heard(&self, connection: Connection, since: Micros) -> bool {
-        let worker = self.carriers.worker(connection);
-        let is_same = |other: &Connection| worker.is_some() && self.carriers.worker(*other) == worker;
-        self.times.iter().any(|(other, times)| times.heard > since && is_same(other))
+    /// Whether the worker of a connection has sent something on another one since then.
+    fn received_since(&self, connection: Connection, since: Micros) -> bool {
+        let worker = self.pool.worker(connection);
+        let is_same = |other: &Connection| worker.is_some() && self.pool.worker(*other) == worker;
+        self.activity.iter().any(|(other, activity)| activity.last_received > since && is_same(other))
     }
 
-    /// Closes connections on which nothing has been out for a while.
-    pub fn close_idle(&mut self, hub: &mut Hub) {
-        self.carriers.close_idle(hub, self.limits.idle);
+    /// Closes connections without an attempt or order in flight for the idle timeout.
+    pub fn close_idle(&mut self, event_loop: &mut Hub) {
+        self.pool.close_idle(event_loop, self.limits.idle);
     }
 }
