--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -17,7 +17,7 @@
 use foldhash::HashMap;
 use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
 
-use crate::acceptors::{self, AcceptorEvent, Acceptors, ConnectionKey, HolderCommand};
+use crate::holders::{self, AcceptorEvent, Acceptors, ConnectionKey, HolderCommand};
 use crate::metrics::{self, GatewayCounts};
 use crate::saved_list::SavedList;
 use crate::settings::GatewaySettings;
@@ -402,7 +402,7 @@
             };
         }
         if self.workers.is_worker_connection(connection)
-            && let Some(input) = self.workers.handle_message(&self.event_loop, connection, message)
+            && let Some(input) = self.workers.receive(&self.event_loop, connection, message)
         {
             self.handle_input(input);
         }
@@ -526,7 +526,7 @@
     /// Sends a client the reason, and closes its connection.
     fn close_client(&mut self, key: ConnectionKey, reason: &str) {
         self.reply(key, &Message::Bye { reason: reason.into() });
-        if acceptors::is_local(key) {
+        if holders::is_local(key) {
             // `Clients` reports no further event of this connection.
             self.client_left(key);
         }
@@ -534,7 +534,7 @@
 
     /// Sends a message to a client, whichever process holds its connection.
     fn reply(&mut self, key: ConnectionKey, message: &Message) {
-        if acceptors::is_local(key) {
+        if holders::is_local(key) {
             self.clients.reply(&mut self.event_loop, key, message);
         } else {
             self.acceptors.reply(&mut self.event_loop, key, message);
@@ -583,7 +583,7 @@
             self.list_retry_at = Some(self.event_loop.clock().now() + self.settings.shell.list_retry);
             return self.handle_input(Input::ListLost);
         }
-        let ended = self.workers.handle_closed(connection, never_stood, unsent, why);
+        let ended = self.workers.on_closed(connection, never_stood, unsent, why);
         ended.into_iter().for_each(|input| self.handle_input(input));
     }
 
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,8 +1,8 @@
 //! The gateway process: listeners, connections to the workers and the list service, signals. It performs the I/O for
 //! the engine, which makes all decisions about calls.
 
-mod acceptors;
 mod gateway;
+mod holders;
 mod metrics;
 mod saved_list;
 mod settings;
@@ -10,6 +10,6 @@
 mod versions;
 mod workers;
 
-pub use acceptors::HolderCommand;
 pub use gateway::{Gateway, Ready, Reload};
+pub use holders::HolderCommand;
 pub use settings::{GatewaySettings, ShellLimits, VersionSettings};
--- a/crates/gateway/src/workers.rs
+++ b/crates/gateway/src/workers.rs
@@ -139,12 +139,7 @@
     }
 
     /// Handles a message of a worker; returns the engine's input for what it ends.
-    pub fn handle_message(
-        &mut self,
-        event_loop: &Hub,
-        connection: Connection,
-        message: Message,
-    ) -> Option<Input> {
+    pub fn receive(&mut self, event_loop: &Hub, connection: Connection, message: Message) -> Option<Input> {
         self.record_received(event_loop, connection);
         match message {
             Message::Ran { attempt, ending, crowd, body, origin } => {
@@ -178,7 +173,7 @@
 
     /// Handles a closed connection; returns how each attempt and order on it ended. A connection that was never
     /// established is no evidence against a worker that sent something on another one meanwhile.
-    pub fn handle_closed(
+    pub fn on_closed(
         &mut self,
         connection: Connection,
         never_stood: bool,
