--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -41,7 +41,8 @@
     Running,
     /// Calls may finish until this time.
     Draining(Micros),
-    /// All calls are answered. Until this time, buffered data may be sent and clients may close their connections.
+    /// All calls are answered. Until this time, buffered data may be sent and clients may close their
+    /// connections.
     Flushing(Micros),
 }
 
@@ -83,7 +84,8 @@
 const FLUSH_POLL_INTERVAL: Micros = 1_000;
 /// File descriptors are reserved for at least this many workers, since the list may name them later.
 const MIN_EXPECTED_WORKERS: usize = 64;
-/// After a longer loop iteration, messages of list services and clients are read before anything is sent to workers.
+/// After a longer loop iteration, messages of list services and clients are read before anything is sent to
+/// workers.
 const LONG_ITERATION: Micros = 50_000;
 
 /// How long the start waits for a port that is in use.
@@ -122,8 +124,8 @@
 }
 
 impl Gateway {
-    /// Binds the listeners and reads the saved list; calls are accepted in [`Gateway::run`]. `acceptor` builds the
-    /// command of an acceptor process, if the settings ask for any.
+    /// Binds the listeners and reads the saved list; calls are accepted in [`Gateway::run`]. `acceptor`
+    /// builds the command of an acceptor process, if the settings ask for any.
     pub fn start(settings: GatewaySettings, reload: Reload, acceptor: HolderCommand) -> anyhow::Result<Self> {
         let mut event_loop = Hub::new(settings.shell.clients.hub()).context("event loop")?;
         event_loop.signals(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP]).context("signals")?;
@@ -255,8 +257,8 @@
         self.engine.open_calls() == 0 && self.intake.is_empty() && !asking
     }
 
-    /// Starts queued calls in the order of their urgency, at most so many in one loop iteration, so that answers of
-    /// workers are handled in between.
+    /// Starts queued calls in the order of their urgency, at most so many in one loop iteration, so that
+    /// answers of workers are handled in between.
     fn start_calls(&mut self) {
         self.intake.turn(self.event_loop.clock().now());
         while self.started < self.intake.per_turn() {
@@ -505,8 +507,9 @@
         call.time_left = requested.min(engine.most_time).saturating_sub(waited).max(1);
         call.route = self.versions.choose_version(now, &call, client);
         let safe = class.is_some_and(|class| class.effect == Effect::Safe);
-        // A shadow call must not delay clients' calls, so there is none while any are queued. It must not earn prewarm
-        // orders either: the order budget is for clients' calls, and the decision module can't tell them apart.
+        // A shadow call must not delay clients' calls, so there is none while any are queued. It must not
+        // earn prewarm orders either: the order budget is for clients' calls, and the decision module can't
+        // tell them apart.
         let allowed = self.settings.engine.module.ration.is_none() && self.intake.is_empty();
         let shadow = (safe && allowed).then(|| self.versions.shadow_call(now, &call, client)).flatten();
         self.handle_input(Input::Call(client, call));
@@ -696,7 +699,8 @@
         }
     }
 
-    /// Runs what is due: checks of versions, connecting to the list service, closing idle connections to workers.
+    /// Runs what is due: checks of versions, connecting to the list service, closing idle connections to
+    /// workers.
     fn run_timers(&mut self, now: Micros) {
         self.update_expected();
         if self.list_retry_at.is_some_and(|at| at <= now) {
--- a/crates/gateway/src/holders.rs
+++ b/crates/gateway/src/holders.rs
@@ -1,9 +1,9 @@
-//! Starts, monitors and restarts acceptor processes, which hold the client connections where the file descriptors of
-//! one process are too few.
+//! Starts, monitors and restarts acceptor processes, which hold the client connections where the file
+//! descriptors of one process are too few.
 //!
 //! All of them share the listening sockets, which the gateway keeps open as well: when an acceptor exits, its
-//! connections are lost, but none that are still in the accept queue. Calls of lost connections are canceled like
-//! those of any client that disconnects.
+//! connections are lost, but none that are still in the accept queue. Calls of lost connections are canceled
+//! like those of any client that disconnects.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -57,7 +57,8 @@
     Vacant(Micros, Micros),
 }
 
-/// A client connection of any process. The upper bits hold the acceptor's incarnation; 0 is the gateway itself.
+/// A client connection of any process. The upper bits hold the acceptor's incarnation; 0 is the gateway
+/// itself.
 pub type ConnectionKey = u64;
 
 /// Position of the incarnation in a [`ConnectionKey`].
@@ -161,9 +162,9 @@
         self.send_terms(event_loop, true);
     }
 
-    /// Tells each process whether another one has capacity for connections, if that changed or if `all` is set. A
-    /// full process closes no connection in favor of a new one while another has capacity; one that is about to
-    /// start has its whole capacity.
+    /// Tells each process whether another one has capacity for connections, if that changed or if `all` is
+    /// set. A full process closes no connection in favor of a new one while another has capacity; one that is
+    /// about to start has its whole capacity.
     fn send_terms(&mut self, event_loop: &mut Hub, all: bool) {
         let max = self.terms.door.connections;
         let has_capacity = |slot: &Slot| match slot {
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,5 +1,5 @@
-//! The gateway process: listeners, connections to the workers and the list service, signals. It performs the I/O for
-//! the engine, which makes all decisions about calls.
+//! The gateway process: listeners, connections to the workers and the list service, signals. It performs the
+//! I/O for the engine, which makes all decisions about calls.
 
 mod gateway;
 mod holders;
--- a/crates/gateway/src/saved_list.rs
+++ b/crates/gateway/src/saved_list.rs
@@ -1,7 +1,7 @@
 //! Saves the last worker list in a file, for a gateway that starts while its list service is unreachable.
 //!
-//! The file is one `List` frame of the main protocol. It is written under a temporary name and renamed, so that a kill
-//! leaves the old file or the new one.
+//! The file is one `List` frame of the main protocol. It is written under a temporary name and renamed, so
+//! that a kill leaves the old file or the new one.
 
 use std::fs::File;
 use std::io::{self, Write};
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -25,7 +25,8 @@
     pub workers: Vec<Listed>,
     /// The folder for the last worker list and the version orders; without one neither is stored.
     pub state: Option<PathBuf>,
-    /// The number of acceptor processes; if not given, as many as the limit on file descriptors requires, often 0.
+    /// The number of acceptor processes; if not given, as many as the limit on file descriptors requires,
+    /// often 0.
     pub holders: Option<usize>,
     /// Access to version orders; without it they are rejected.
     pub versions: Option<VersionSettings>,
--- a/crates/gateway/src/version_store.rs
+++ b/crates/gateway/src/version_store.rs
@@ -1,5 +1,5 @@
-//! Stores the version orders of this gateway in a redb file. An order is written before it is applied and read back
-//! at the next start, however the process ended.
+//! Stores the version orders of this gateway in a redb file. An order is written before it is applied and
+//! read back at the next start, however the process ended.
 
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::path::{Path, PathBuf};
@@ -74,7 +74,8 @@
         path: &Path,
         open: impl FnOnce() -> Result<Database, redb::DatabaseError>,
     ) -> Result<Self, String> {
-        // redb trusts the contents of a file that was closed cleanly, and panics if they were changed afterwards.
+        // redb trusts the contents of a file that was closed cleanly, and panics if they were changed
+        // afterwards.
         let opened = catch_unwind(AssertUnwindSafe(|| {
             let mut db = open().map_err(|error| error.to_string())?;
             db.check_integrity().map_err(|error| error.to_string())?;
--- a/crates/gateway/src/version_store/tests.rs
+++ b/crates/gateway/src/version_store/tests.rs
@@ -84,8 +84,8 @@
     RecordingBackend { bytes: Arc::new(Mutex::new(bytes)), ..RecordingBackend::default() }
 }
 
-/// Simulates a crash at every byte of every write after the file was created: the store opens with the state from
-/// before the interrupted write or the one from after it.
+/// Simulates a crash at every byte of every write after the file was created: the store opens with the state
+/// from before the interrupted write or the one from after it.
 #[test]
 fn a_write_cut_at_any_byte_leaves_the_state_before_or_after_it() {
     let backend = RecordingBackend::default();
--- a/crates/gateway/src/versions.rs
+++ b/crates/gateway/src/versions.rs
@@ -1,4 +1,5 @@
-//! The gateway's part in versions: receives, stores and applies version orders. `cresswheel_versions` decides.
+//! The gateway's part in versions: receives, stores and applies version orders. `cresswheel_versions`
+//! decides.
 
 use std::collections::HashMap;
 use std::path::Path;
@@ -12,8 +13,8 @@
 
 use crate::version_store::{FunctionState, VersionStore};
 
-/// How long the engine expects calls of a function after each check; more than the interval, since a check may be
-/// late.
+/// How long the engine expects calls of a function after each check; more than the interval, since a check
+/// may be late.
 pub const EXPECTATION_TTL: Micros = 3 * LOOK_EVERY;
 
 /// The versions of one gateway.
@@ -122,8 +123,8 @@
         self.versions.answered(&call.function, side, &call.class, end, erred);
     }
 
-    /// The shadow call to the old version, if the answers of both versions are to be compared. Deferred calls get
-    /// none. A shadow call has no idempotency key.
+    /// The shadow call to the old version, if the answers of both versions are to be compared. Deferred calls
+    /// get none. A shadow call has no idempotency key.
     pub fn shadow_call(&mut self, now: Micros, call: &Call, client: Client) -> Option<(Client, Call)> {
         let route = call.route.as_ref().filter(|route| route.new && !call.deferred)?;
         let (plan, compare) = self.versions.compare(&call.function)?;
@@ -146,8 +147,8 @@
         Some((Client { connection: SHADOW_CONNECTION, number: self.last_comparison }, shadow))
     }
 
-    /// Records the answer to a client's call or to a shadow call; true for a shadow call, whose answer goes to no
-    /// client.
+    /// Records the answer to a client's call or to a shadow call; true for a shadow call, whose answer goes
+    /// to no client.
     pub fn record_answer(&mut self, client: Client, answer: &Answer) -> bool {
         let is_shadow = client.connection == SHADOW_CONNECTION;
         let number = if is_shadow { Some(client.number) } else { self.comparison_of_client.remove(&client) };
@@ -209,7 +210,8 @@
                 if self.versions.renew(now, &function, mark)
                     && let Some((record, heard, braked)) = self.versions.heard(&function)
                 {
-                    // Stored only every quarter of a lease: after a restart the lease may end a little earlier.
+                    // Stored only every quarter of a lease: after a restart the lease may end a little
+                    // earlier.
                     let lease = record.plan.lease;
                     if before.is_some_and(|before| before / (lease / 4).max(1) != heard / (lease / 4).max(1))
                     {
--- a/crates/gateway/src/workers.rs
+++ b/crates/gateway/src/workers.rs
@@ -1,7 +1,8 @@
 //! Connections to workers: sends attempts and orders, receives answers.
 //!
-//! The engine makes the decisions about workers. This module knows the address of each listed worker, and whether a
-//! worker whose new connection could not be established has sent something on another connection meanwhile.
+//! The engine makes the decisions about workers. This module knows the address of each listed worker, and
+//! whether a worker whose new connection could not be established has sent something on another connection
+//! meanwhile.
 
 use std::net::SocketAddr;
 
@@ -50,8 +51,8 @@
         self.pool.is_ours(connection)
     }
 
-    /// Applies a whole list or its changes. Returns the unsent attempts and orders of workers that drain or were
-    /// removed, which are canceled.
+    /// Applies a whole list or its changes. Returns the unsent attempts and orders of workers that drain or
+    /// were removed, which are canceled.
     pub fn apply_list(&mut self, event_loop: &mut Hub, whole: bool, listed: &[Listed]) -> Vec<Input> {
         let mut ended = Vec::new();
         if whole {
@@ -163,16 +164,16 @@
         }
     }
 
-    /// Completes the attempt or order of an answer and returns its number; 0 if the answer came on a connection other
-    /// than the one it was sent on.
+    /// Completes the attempt or order of an answer and returns its number; 0 if the answer came on a
+    /// connection other than the one it was sent on.
     fn complete(&mut self, event_loop: &Hub, connection: Connection, number: u64) -> u64 {
         let number = if self.pool.carries(connection, number) { number } else { 0 };
         self.pool.done(event_loop, number);
         number
     }
 
-    /// Handles a closed connection; returns how each attempt and order on it ended. A connection that was never
-    /// established is no evidence against a worker that sent something on another one meanwhile.
+    /// Handles a closed connection; returns how each attempt and order on it ended. A connection that was
+    /// never established is no evidence against a worker that sent something on another one meanwhile.
     pub fn on_closed(
         &mut self,
         connection: Connection,
