--- a/crates/protocol/examples/message_bytes.rs
+++ b/crates/protocol/examples/message_bytes.rs
@@ -1,10 +1,10 @@
-//! Bytes of each message that control and calls send over the main protocol, and what a worker list costs to write
-//! and to read, by its length.
+//! Prints the size of each message of the main protocol, and the time to encode and to decode a worker list,
+//! by its length.
 //!
 //! `cargo run --release -p cresswheel-protocol --example message_bytes`
 //!
-//! Bytes are of frames, without TCP and IP (40 to 52 bytes for each packet). Times are microseconds of this thread's
-//! processor time.
+//! Sizes are those of frames, without TCP and IP (40 to 52 bytes for each packet). Times are microseconds of
+//! this thread's CPU time.
 
 use std::hint::black_box;
 
@@ -13,13 +13,13 @@
     Decoder, Ending, Limits, Listed, Message, Origin, Role, Shape, Standing, Status, encode,
 };
 
-/// Lengths of a list. The planned ones (1,000, 2,000, 5,000 workers) lie within.
+/// Lengths of a list, around the expected ones (1,000, 2,000, 5,000 workers).
 const WORKERS: [usize; 6] = [1, 100, 1_000, 2_000, 5_000, 10_000];
 const RUNS: usize = 9;
-/// Entries written or read within one timing.
-const ENTRIES_TIMED: usize = 40_000;
+/// Entries encoded or decoded in one timing.
+const ENTRIES_PER_TIMING: usize = 40_000;
 
-/// A worker under a name of usual length. Half of all names in use are no longer than this.
+/// A worker with a name of typical length. Half of all names in use are no longer than this.
 fn worker(number: usize) -> Listed {
     Listed {
         id: format!("worker-{number:05}"),
@@ -91,8 +91,8 @@
     }
 }
 
-/// Microseconds that `work` takes each time, over so many times.
-fn each(times: usize, mut work: impl FnMut()) -> f64 {
+/// Average time of `work` in microseconds, over this many runs.
+fn time_each(times: usize, mut work: impl FnMut()) -> f64 {
     let began = thread_time();
     (0..times).for_each(|_| work());
     (thread_time() - began).as_secs_f64() * 1e6 / times as f64
@@ -110,17 +110,17 @@
     let mut writing = Series::new("writing a whole list", "us", "workers");
     let mut reading = Series::new("reading a whole list", "us", "workers");
     for workers in WORKERS {
-        let (message, times) = (list(workers), (ENTRIES_TIMED / workers).max(1));
+        let (message, times) = (list(workers), (ENTRIES_PER_TIMING / workers).max(1));
         let frame = bytes(&message);
         length.add(workers, vec![frame.len() as f64]);
         let write = || {
-            each(times, || {
+            time_each(times, || {
                 black_box(bytes(black_box(&message)));
             })
         };
         writing.add(workers, (0..RUNS).map(|_| write()).collect());
         let read = || {
-            each(times, || {
+            time_each(times, || {
                 black_box(read(black_box(&frame)));
             })
         };
--- a/crates/protocol/src/error.rs
+++ b/crates/protocol/src/error.rs
@@ -5,15 +5,15 @@
 /// Why bytes are not a valid frame. The connection that they came on cannot be used any further.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// The header announces more than the bound.
+    /// The header announces a frame that exceeds the limit.
     #[error("frame of {length} bytes, {most} at most")]
     TooLong {
-        /// Bytes announced.
+        /// Announced size in bytes.
         length: usize,
-        /// The bound.
+        /// The limit.
         most: usize,
     },
-    /// The announced length does not even cover the header's version and kind.
+    /// The announced length is too short for the header's version and kind.
     #[error("frame of {0} bytes, shorter than its header")]
     NoHeader(usize),
     /// The peer uses another protocol version.
@@ -30,9 +30,9 @@
     Long {
         /// The field.
         field: &'static str,
-        /// Its length.
+        /// Its length in bytes.
         length: usize,
-        /// The bound.
+        /// The limit.
         most: usize,
     },
     /// A name is not UTF-8.
--- a/crates/protocol/src/field.rs
+++ b/crates/protocol/src/field.rs
@@ -1,4 +1,4 @@
-//! One field of a frame: its bytes, its bounds.
+//! Encoding, decoding and limits of the fields of a frame.
 
 use crate::error::FrameError;
 use crate::limits::MAX_NAME;
@@ -34,7 +34,7 @@
     }
 }
 
-/// A type that can be a field of a frame.
+/// A type that can be encoded as a field of a frame.
 pub trait Field: Sized {
     fn encode(&self, out: &mut Vec<u8>);
     fn decode(reader: &mut Reader) -> Result<Self, FrameError>;
@@ -67,8 +67,8 @@
     }
 }
 
-/// A name: its length as 16 bits, then at most [`MAX_NAME`] bytes of UTF-8. A longer name is truncated at a character
-/// boundary when it is written.
+/// A name: its length as 16 bits, then at most [`MAX_NAME`] bytes of UTF-8. A longer name is truncated at a
+/// character boundary when it is written.
 impl Field for String {
     fn encode(&self, out: &mut Vec<u8>) {
         let mut end = self.len().min(MAX_NAME);
@@ -110,8 +110,8 @@
     }
 }
 
-/// A list: the number of items as 32 bits, then the items. Memory grows with the bytes received, not with the announced
-/// number.
+/// A list: the number of items as 32 bits, then the items. Memory grows with the bytes received, not with the
+/// announced number.
 pub fn encode_list<T: Field>(items: &[T], out: &mut Vec<u8>) {
     (items.len() as u32).encode(out);
     items.iter().for_each(|item| item.encode(out));
--- a/crates/protocol/src/frame.rs
+++ b/crates/protocol/src/frame.rs
@@ -44,7 +44,7 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Buffered bytes of an incomplete frame.
+    /// Number of buffered bytes that are not decoded yet.
     pub fn held(&self) -> usize {
         self.buffer.len() - self.used
     }
@@ -84,7 +84,7 @@
             if length < HEADER - 4 {
                 return Err(FrameError::NoHeader(length));
             }
-            // The version comes before the length's bound: another version may have other bounds.
+            // Checked before the limit on the length, which may be different in another version.
             if version != VERSION {
                 return Err(FrameError::Version(version));
             }
--- a/crates/protocol/src/http.rs
+++ b/crates/protocol/src/http.rs
@@ -1,17 +1,17 @@
-//! HTTP/1.1 requests from bytes, responses to bytes. httparse reads the heads; what it leaves to its caller (the
-//! length of a body, whether a connection is kept alive) is decided here, strictly: a request whose end is ambiguous is
-//! rejected and its connection closed.
+//! Decodes HTTP/1.1 requests and encodes responses. httparse parses the heads; what it leaves to its caller
+//! (the length of a body, whether a connection is kept alive) is decided here, strictly: a request whose end
+//! is ambiguous is rejected and its connection closed.
 
 use std::io::Write;
 
 /// Limits of one connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Longest head, in bytes.
+    /// Maximum size of a head, in bytes.
     pub head: usize,
-    /// Most header lines.
+    /// Maximum number of header lines.
     pub headers: usize,
-    /// Longest body, in bytes.
+    /// Maximum size of a body, in bytes.
     pub body: usize,
 }
 
@@ -22,23 +22,23 @@
     }
 }
 
-/// A whole request.
+/// A complete request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Request {
     /// `GET`, `POST`, ...
     pub method: String,
-    /// Path and query as they came.
+    /// Path and query as received.
     pub target: String,
-    /// Names in lower case, values as they came; those that are not UTF-8 are left out.
+    /// Names in lower case, trimmed values; headers with values that are not UTF-8 are left out.
     pub headers: Vec<(String, String)>,
     /// The body, chunks joined.
     pub body: Vec<u8>,
-    /// The connection goes on after the answer.
+    /// Whether the connection stays open after the response.
     pub keep_alive: bool,
 }
 
 impl Request {
-    /// The first header of that name (in lower case).
+    /// The value of the first header with this name (in lower case).
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(n, _)| n == name).map(|(_, v)| v.trim())
     }
@@ -49,36 +49,38 @@
 pub enum Step {
     /// More bytes are needed.
     More,
-    /// The client waits for `100 Continue` before it sends the body.
+    /// The client waits for [`CONTINUE`] before it sends the body.
     Continue,
     /// A request is complete.
     Request(Request),
 }
 
-/// Why bytes are not a valid request: answer `status` and close the connection.
+/// Why bytes are not a valid request. The caller responds with `status` and closes the connection.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{status} {reason}")]
 pub struct HttpError {
     /// The status code.
     pub status: u16,
-    /// In words, for the body of the answer.
+    /// The error text for the body of the response.
     pub reason: &'static str,
 }
 
-fn refuse<T>(status: u16, reason: &'static str) -> Result<T, HttpError> {
+fn reject<T>(status: u16, reason: &'static str) -> Result<T, HttpError> {
     Err(HttpError { status, reason })
 }
 
+/// What the decoder reads next.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-enum Body {
+enum State {
     #[default]
     Head,
+    /// A body of this length.
     Length(usize),
     /// At a chunk's size line.
     ChunkSize,
-    /// Within a chunk, so many bytes to come, its line end after them.
+    /// Within a chunk of this size, which a line end follows.
     Chunk(usize),
-    /// Trailers, until an empty line.
+    /// In the trailers, until an empty line; holds the bytes read of them.
     Trailers(usize),
 }
 
@@ -87,15 +89,15 @@
 pub struct Decoder {
     limits: Limits,
     buffer: Vec<u8>,
-    state: Body,
+    state: State,
     request: Request,
-    told_to_continue: bool,
-    wants_continue: bool,
+    continue_sent: bool,
+    continue_expected: bool,
     failed: Option<HttpError>,
 }
 
-/// Longest line with a chunk's size, its extensions included.
-const SIZE_LINE: usize = 256;
+/// Maximum length of a line with a chunk's size and extensions.
+const MAX_SIZE_LINE: usize = 256;
 
 impl Decoder {
     /// A decoder with these limits.
@@ -115,7 +117,7 @@
 
     /// Whether a request has been received in part.
     pub fn midway(&self) -> bool {
-        self.state != Body::Head || !self.buffer.is_empty()
+        self.state != State::Head || !self.buffer.is_empty()
     }
 
     /// Whether the decoder is in its initial state.
@@ -141,82 +143,82 @@
     fn read(&mut self) -> Result<Step, HttpError> {
         loop {
             match self.state {
-                Body::Head => {
-                    if !self.head()? {
+                State::Head => {
+                    if !self.read_head()? {
                         return Ok(Step::More);
                     }
                 }
-                Body::Length(length) => {
+                State::Length(length) => {
                     if self.buffer.len() >= length {
                         let rest = self.buffer.split_off(length);
                         self.request.body = std::mem::replace(&mut self.buffer, rest);
-                        return Ok(self.whole());
+                        return Ok(self.finish_request());
                     }
-                    return Ok(self.body_wanted());
+                    return Ok(self.need_more_body());
                 }
-                Body::ChunkSize => {
-                    let Some(line) = self.line(SIZE_LINE, "chunk size line too long")? else {
-                        return Ok(self.body_wanted());
+                State::ChunkSize => {
+                    let Some(line) = self.read_line(MAX_SIZE_LINE, "chunk size line too long")? else {
+                        return Ok(self.need_more_body());
                     };
                     let size = chunk_size(&line)?;
                     if self.request.body.len().saturating_add(size) > self.limits.body {
-                        return refuse(413, "body too long");
+                        return reject(413, "body too long");
                     }
-                    self.state = if size == 0 { Body::Trailers(0) } else { Body::Chunk(size) };
+                    self.state = if size == 0 { State::Trailers(0) } else { State::Chunk(size) };
                 }
-                Body::Chunk(size) => {
+                State::Chunk(size) => {
                     if self.buffer.len() < size + 2 {
                         return Ok(Step::More);
                     }
                     if &self.buffer[size..size + 2] != b"\r\n" {
-                        return refuse(400, "chunk without its line end");
+                        return reject(400, "chunk without its line end");
                     }
                     self.request.body.extend_from_slice(&self.buffer[..size]);
                     self.buffer.drain(..size + 2);
-                    self.state = Body::ChunkSize;
+                    self.state = State::ChunkSize;
                 }
-                Body::Trailers(seen) => {
-                    let most = self.limits.head.saturating_sub(seen);
-                    let Some(line) = self.line(most, "trailers too long")? else { return Ok(Step::More) };
+                State::Trailers(seen) => {
+                    let max = self.limits.head.saturating_sub(seen);
+                    let Some(line) = self.read_line(max, "trailers too long")? else { return Ok(Step::More) };
                     if line.is_empty() {
-                        return Ok(self.whole());
+                        return Ok(self.finish_request());
                     }
-                    self.state = Body::Trailers(seen + line.len() + 2);
+                    self.state = State::Trailers(seen + line.len() + 2);
                 }
             }
         }
     }
 
-    fn body_wanted(&mut self) -> Step {
-        if self.wants_continue && !self.told_to_continue && self.buffer.is_empty() {
-            self.told_to_continue = true;
+    fn need_more_body(&mut self) -> Step {
+        if self.continue_expected && !self.continue_sent && self.buffer.is_empty() {
+            self.continue_sent = true;
             return Step::Continue;
         }
         Step::More
     }
 
-    fn whole(&mut self) -> Step {
-        self.state = Body::Head;
-        (self.told_to_continue, self.wants_continue) = (false, false);
+    fn finish_request(&mut self) -> Step {
+        self.state = State::Head;
+        (self.continue_sent, self.continue_expected) = (false, false);
         Step::Request(std::mem::take(&mut self.request))
     }
 
     /// The next line without its line end, if it has been received.
-    fn line(&mut self, most: usize, long: &'static str) -> Result<Option<Vec<u8>>, HttpError> {
+    fn read_line(&mut self, max: usize, too_long: &'static str) -> Result<Option<Vec<u8>>, HttpError> {
         match self.buffer.windows(2).position(|pair| pair == b"\r\n") {
-            Some(at) if at <= most => {
+            Some(at) if at <= max => {
                 let mut line: Vec<u8> = self.buffer.drain(..at + 2).collect();
                 line.truncate(at);
                 Ok(Some(line))
             }
-            None if self.buffer.len() <= most => Ok(None),
-            _ => refuse(400, long),
+            None if self.buffer.len() <= max => Ok(None),
+            _ => reject(400, too_long),
         }
     }
 
-    /// Reads a head; false: it is not whole yet.
-    fn head(&mut self) -> Result<bool, HttpError> {
-        // Empty lines between requests are passed over, as RFC 9112 2.2 asks.
+    /// Reads a head; false if it is incomplete.
+    fn read_head(&mut self) -> Result<bool, HttpError> {
+        // Empty lines before a request are ignored, see RFC 9112, section 2.2.
         while self.buffer.starts_with(b"\r\n") {
             self.buffer.drain(..2);
         }
@@ -225,10 +227,10 @@
         let length = match head.parse(&self.buffer) {
             Ok(httparse::Status::Complete(length)) if length <= self.limits.head => length,
             Ok(httparse::Status::Partial) if self.buffer.len() <= self.limits.head => return Ok(false),
-            Ok(_) => return refuse(431, "head too long"),
-            Err(httparse::Error::TooManyHeaders) => return refuse(431, "too many headers"),
-            Err(httparse::Error::Version) => return refuse(505, "HTTP/1.0 and 1.1 only"),
-            Err(_) => return refuse(400, "not an HTTP request"),
+            Ok(_) => return reject(431, "head too long"),
+            Err(httparse::Error::TooManyHeaders) => return reject(431, "too many headers"),
+            Err(httparse::Error::Version) => return reject(505, "HTTP/1.0 and 1.1 only"),
+            Err(_) => return reject(400, "not an HTTP request"),
         };
         let mut request = Request {
             method: head.method.unwrap_or("").into(),
@@ -236,26 +238,26 @@
             keep_alive: head.version == Some(1),
             ..Request::default()
         };
-        let (mut length_said, mut chunked) = (None, false);
+        let (mut content_length, mut chunked) = (None, false);
         for line in head.headers.iter() {
             let Ok(value) = std::str::from_utf8(line.value) else { continue };
             let name = line.name.to_ascii_lowercase();
             let value = value.trim();
             match name.as_str() {
                 "content-length" => {
-                    // Only digits: `+5` and `5, 5` are read in two ways elsewhere.
+                    // Only digits: other implementations disagree about `+5` and `5, 5`.
                     if value.is_empty() || !value.bytes().all(|b| b.is_ascii_digit()) {
-                        return refuse(400, "content-length is not a number");
+                        return reject(400, "content-length is not a number");
                     }
-                    let said = value.parse::<usize>().or(refuse(413, "body too long"))?;
-                    if length_said.is_some_and(|before| before != said) {
-                        return refuse(400, "two lengths that differ");
+                    let value = value.parse::<usize>().or(reject(413, "body too long"))?;
+                    if content_length.is_some_and(|before| before != value) {
+                        return reject(400, "two lengths that differ");
                     }
-                    length_said = Some(said);
+                    content_length = Some(value);
                 }
                 "transfer-encoding" => {
                     if chunked || !value.eq_ignore_ascii_case("chunked") {
-                        return refuse(501, "transfer-encoding: chunked only, once");
+                        return reject(501, "transfer-encoding: chunked only, once");
                     }
                     chunked = true;
                 }
@@ -268,29 +270,29 @@
                 }
                 "expect" => {
                     if !value.eq_ignore_ascii_case("100-continue") {
-                        return refuse(417, "expect: 100-continue only");
+                        return reject(417, "expect: 100-continue only");
                     }
-                    self.wants_continue = true;
+                    self.continue_expected = true;
                 }
                 _ => {}
             }
             request.headers.push((name, value.into()));
         }
         if head.version == Some(1) && request.header("host").is_none() {
-            return refuse(400, "no host header");
+            return reject(400, "no host header");
         }
-        if chunked && (length_said.is_some() || head.version == Some(0)) {
-            return refuse(400, "both a length and chunks, or chunks in HTTP/1.0");
+        if chunked && (content_length.is_some() || head.version == Some(0)) {
+            return reject(400, "both a length and chunks, or chunks in HTTP/1.0");
         }
-        let length_said = length_said.unwrap_or(0);
-        if length_said > self.limits.body {
-            return refuse(413, "body too long");
+        let content_length = content_length.unwrap_or(0);
+        if content_length > self.limits.body {
+            return reject(413, "body too long");
         }
         self.buffer.drain(..length);
         self.request = request;
-        self.state = if chunked { Body::ChunkSize } else { Body::Length(length_said) };
-        if length_said == 0 && !chunked {
-            self.wants_continue = false;
+        self.state = if chunked { State::ChunkSize } else { State::Length(content_length) };
+        if content_length == 0 && !chunked {
+            self.continue_expected = false;
         }
         Ok(true)
     }
@@ -300,17 +302,17 @@
     let digits = line.split(|b| *b == b';').next().unwrap_or(&[]);
     let text = std::str::from_utf8(digits).unwrap_or("").trim_end_matches([' ', '\t']);
     if text.is_empty() || text.len() > 8 || !text.bytes().all(|b| b.is_ascii_hexdigit()) {
-        return refuse(400, "bad chunk size");
+        return reject(400, "bad chunk size");
     }
-    usize::from_str_radix(text, 16).or(refuse(400, "bad chunk size"))
+    usize::from_str_radix(text, 16).or(reject(400, "bad chunk size"))
 }
 
-/// Tells a client that waits for it to send the body of its request.
+/// The interim response that asks a waiting client to send the body of its request.
 pub const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
-/// Appends a response with its length. Header values must be free of line ends: others are left out.
+/// Appends a response with its length. Headers whose value contains a line end or NUL are left out.
 pub fn respond(out: &mut Vec<u8>, status: u16, headers: &[(&str, &str)], body: &[u8], keep_alive: bool) {
-    let words = match status {
+    let reason = match status {
         200 => "OK",
         202 => "Accepted",
         400 => "Bad Request",
@@ -327,7 +329,7 @@
         _ => "",
     };
     let mut head = || -> std::io::Result<()> {
-        write!(out, "HTTP/1.1 {status} {words}\r\ncontent-length: {}\r\n", body.len())?;
+        write!(out, "HTTP/1.1 {status} {reason}\r\ncontent-length: {}\r\n", body.len())?;
         for (name, value) in headers.iter().filter(|(_, v)| !v.contains(['\r', '\n', '\0'])) {
             write!(out, "{name}: {value}\r\n")?;
         }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,8 +1,8 @@
-//! Bytes to typed messages and back: the main protocol ([`Message`], [`Decoder`]) and HTTP/1.1 ([`http`]).
+//! Encodes and decodes messages: the main protocol ([`Message`], [`Decoder`]) and HTTP/1.1 ([`http`]).
 //!
-//! Nothing here opens a socket or reads a clock. Whatever bytes come in, the result is a message, a request for more
-//! bytes, or one [`FrameError`] that names the field; no input causes a panic or makes the decoder buffer more than
-//! [`Limits`] allows. `docs/PROTOCOL.md` has the layout.
+//! Nothing here opens a socket or reads a clock. Whatever bytes come in, the result is a message, a request
+//! for more bytes, or a [`FrameError`] that names the field; no input causes a panic or makes the decoder
+//! buffer more than [`Limits`] allows. `docs/PROTOCOL.md` has the layout.
 
 mod error;
 mod field;
@@ -19,5 +19,5 @@
 pub use message::Message;
 pub use values::{Ending, Listed, Origin, Role, Shape, Standing, Status};
 
-/// A span or an instant in microseconds.
+/// A duration or a point in time, in microseconds.
 pub type Micros = u64;
--- a/crates/protocol/src/limits.rs
+++ b/crates/protocol/src/limits.rs
@@ -1,16 +1,16 @@
-//! Sizes of the wire format, and bounds of what is read from it.
+//! Sizes of the wire format and limits for decoding it.
 
 /// The protocol version of this implementation.
 pub const VERSION: u8 = 1;
-/// Bytes of a header: length (4, of what follows it), version (1), kind (1).
+/// Size of a header: length of what follows the length (4 bytes), version (1), kind (1).
 pub const HEADER: usize = 6;
-/// Longest name (function, class, tenant, key, id, address, reason), in bytes.
+/// Maximum length of a name (function, class, tenant, key, id, address, reason), in bytes.
 pub const MAX_NAME: usize = 512;
 
-/// Bounds of the memory that one connection may use.
+/// Limits on the memory that decoding may use on one connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Longest frame, header included, in bytes.
+    /// Maximum size of a frame with its header, in bytes.
     pub frame: usize,
 }
 
--- a/crates/protocol/src/macros.rs
+++ b/crates/protocol/src/macros.rs
@@ -1,4 +1,4 @@
-//! Enums and structs of the wire format, each with its encoding.
+//! Macros that define the enums and structs of the wire format with their encoding.
 
 macro_rules! wire_enum {
     ($(#[$doc:meta])* $name:ident { $($(#[$vdoc:meta])* $variant:ident = $code:literal => $word:literal,)* }) => {
@@ -8,11 +8,11 @@
         impl $name {
             /// All values, in the order of their codes.
             pub const ALL: &'static [Self] = &[$(Self::$variant),*];
-            /// The value as a word, for logs, headers and records.
+            /// The name of the value in logs, headers and records.
             pub fn word(self) -> &'static str {
                 match self { $(Self::$variant => $word),* }
             }
-            /// The value of a word.
+            /// The value with this name.
             pub fn from_word(word: &str) -> Option<Self> {
                 match word { $($word => Some(Self::$variant),)* _ => None }
             }
--- a/crates/protocol/src/message.rs
+++ b/crates/protocol/src/message.rs
@@ -1,4 +1,4 @@
-//! The messages of the main protocol. `docs/PROTOCOL.md` tells who sends which, and when.
+//! The messages of the main protocol. `docs/PROTOCOL.md` describes who sends each of them, and when.
 
 use crate::Micros;
 use crate::error::FrameError;
@@ -7,24 +7,25 @@
 
 macro_rules! wire_messages {
     ($($(#[$doc:meta])* $code:literal $name:ident { $($(#[$fdoc:meta])* $field:ident: $type:ty,)* })*) => {
-        /// A message, one to a frame.
+        /// A message; each frame holds one.
         #[derive(Clone, Debug, PartialEq, Eq)]
         pub enum Message {
             $($(#[$doc])* $name { $($(#[$fdoc])* $field: $type,)* },)*
         }
         impl Message {
-            /// The code of its kind in the frame's header.
+            /// The code of the message's kind in the frame's header.
             pub fn code(&self) -> u8 {
                 match self { $(Self::$name { .. } => $code),* }
             }
-            /// The name of its kind.
+            /// The name of the message's kind.
             pub fn kind(&self) -> &'static str {
                 match self { $(Self::$name { .. } => stringify!($name)),* }
             }
             pub(crate) fn encode(&self, out: &mut Vec<u8>) {
                 match self { $(Self::$name { $($field),* } => { $($field.encode(out);)* }),* }
             }
-            /// `None`: a kind that this version does not know. Bytes after the last field are passed over.
+            /// Decodes a payload; `None` if the kind is unknown. Bytes after the last known field are
+            /// ignored.
             pub(crate) fn decode(code: u8, reader: &mut Reader) -> Result<Option<Self>, FrameError> {
                 Ok(Some(match code {
                     $($code => Self::$name {
@@ -38,9 +39,9 @@
 }
 
 wire_messages! {
-    /// Opens a connection, from the side that connected.
+    /// The first message on a connection, from the side that connected.
     1 Hello {
-        /// What the sender is.
+        /// The sender's role.
         role: Role,
         /// Its name, for logs and records.
         name: String,
@@ -54,26 +55,26 @@
     }
     /// The sender will close the connection soon and accepts nothing new.
     3 GoingAway {
-        /// Why, in a word.
+        /// The reason, as a short name.
         reason: String,
     }
     /// Liveness probe.
     4 Probe {
-        /// Given back in the answer.
+        /// Returned in the answer.
         number: u64,
     }
     /// The answer to a probe.
     5 Probed {
         /// From the probe.
         number: u64,
-        /// Calls held.
+        /// Calls on the worker that have not ended.
         held: u32,
-        /// Calls among them that wait.
+        /// How many of them wait to be run.
         queued: u32,
     }
     /// Client to gateway: run a function.
     10 Call {
-        /// Chosen by the client, used once on its connection.
+        /// Chosen by the client; unique on its connection.
         number: u64,
         /// The answer is fetched later with `Await`.
         deferred: bool,
@@ -85,22 +86,22 @@
         tenant: String,
         /// The idempotency key; empty: none.
         key: String,
-        /// Follows the call over gateway and worker; empty: the gateway makes one.
+        /// Trace id of the call at gateway and worker; empty: the gateway generates one.
         trace: String,
-        /// Time until the client gives up; 0: the class's own.
+        /// The client's timeout; 0: that of the class.
         time_left: Micros,
         /// What is known of the function.
         shape: Shape,
         /// The arguments.
         body: Vec<u8>,
-        /// The account that the call is about, where versions stick to accounts.
+        /// The account of the call; plans with session affinity by account use it.
         account: Option<String>,
     }
-    /// Gateway to client: a deferred call was taken.
+    /// Gateway to client: a deferred call was accepted.
     11 Accepted {
         /// From the call.
         number: u64,
-        /// Names the call from now on.
+        /// The call's id from now on.
         id: String,
     }
     /// Gateway to client: the final answer to a call, or the answer to an await.
@@ -109,22 +110,23 @@
         number: u64,
         /// How it ended.
         status: Status,
-        /// Why, in a word; empty when served.
+        /// The reason, as a short name; empty if served.
         reason: String,
-        /// How long a refused client should stay away; 0: no advice.
+        /// How long the client should wait before it retries a refused call; 0: no advice.
         retry_after: Micros,
         /// The function's answer.
         body: Vec<u8>,
-        /// What ran; where nothing is known to have run, what the call was given, without a digest.
+        /// The version that ran. If none is known to have run: the version chosen for the call, without a
+        /// digest.
         origin: Option<Origin>,
     }
-    /// Client to gateway: the result of a deferred call, once it is there.
+    /// Client to gateway: get the result of a deferred call, once it is available.
     13 Await {
-        /// Chosen by the client, used once on its connection.
+        /// Chosen by the client; unique on its connection.
         number: u64,
-        /// The call.
+        /// The call's id.
         id: String,
-        /// Longest wait; 0: answer at once.
+        /// Maximum wait; 0: answer at once.
         wait: Micros,
     }
     /// Client to gateway: cancel a call or an await, which then gets no answer.
@@ -134,11 +136,11 @@
     }
     /// Gateway to worker: run a call.
     20 Run {
-        /// Names the attempt on this connection.
+        /// Identifies the attempt on this connection.
         attempt: u64,
         /// The call's trace, the same in all its attempts.
         trace: String,
-        /// Attempts of the call before this one.
+        /// Number of earlier attempts of the call.
         before: u32,
         /// The function.
         function: String,
@@ -163,7 +165,7 @@
         crowd: u32,
         /// The function's answer.
         body: Vec<u8>,
-        /// What ran.
+        /// The version that ran.
         origin: Option<Origin>,
     }
     /// Gateway to worker: cancel this attempt.
@@ -171,13 +173,13 @@
         /// From `Run`.
         attempt: u64,
     }
-    /// Gateway to worker: hold at least so many instances; 0 only asks.
+    /// Gateway to worker: keep at least this many instances loaded; with 0, only report how many are loaded.
     23 Hold {
-        /// Names the order on this connection.
+        /// Identifies the order on this connection.
         order: u64,
         /// The function.
         function: String,
-        /// Instances wanted, 16 at most.
+        /// Number of instances, 16 at most.
         count: u32,
         /// What is known of the function.
         shape: Shape,
@@ -188,7 +190,7 @@
         order: u64,
         /// How it ended.
         ending: Ending,
-        /// Instances that are loaded.
+        /// Number of loaded instances.
         standing: u32,
     }
     /// Gateway to worker: unload the function's idle instances.
@@ -196,90 +198,91 @@
         /// The function.
         function: String,
     }
-    /// Gateway to worker list: the whole list, then its changes.
+    /// Gateway to list service: send the whole list, then its changes.
     30 Follow {}
-    /// Worker list to gateway.
+    /// List service to gateway: the list or a change of it.
     31 List {
-        /// All workers, or those that changed.
+        /// Whether `workers` holds all workers; otherwise those that changed.
         whole: bool,
-        /// Counts up with each change.
+        /// Increases with each change.
         version: u64,
         /// The workers.
         workers: Vec<Listed>,
     }
-    /// Worker to worker list: put me on the list as this.
+    /// Worker to list service: add or update this worker.
     32 Register {
         /// The entry.
         workers: Vec<Listed>,
     }
-    /// To a stand-in: play this fault. Gateways refuse it.
+    /// To a simulated peer: inject this fault. Gateways reject it.
     40 Control {
-        /// In words; see `docs/REHEARSAL.md`.
+        /// The fault, as text; see `docs/REHEARSAL.md`.
         words: String,
     }
-    /// From a stand-in: it does so now, or why not.
+    /// From a simulated peer: the fault is active, or why not.
     41 Controlled {
-        /// Empty, or what was wrong.
+        /// The error; empty if there is none.
         wrong: String,
     }
     /// Worker to model store: send the image of a function.
     42 Fetch {
-        /// Names the fetch on this connection.
+        /// Identifies the fetch on this connection.
         number: u64,
         /// The function.
         function: String,
-        /// How long an uncrowded fetch takes, in microseconds.
+        /// How long a fetch takes without contention, in microseconds.
         time: Micros,
     }
     /// Model store to worker: the image has arrived, or is unavailable now.
     43 Fetched {
         /// From `Fetch`.
         number: u64,
-        /// It is there.
+        /// Whether the image has arrived.
         there: bool,
     }
-    /// Between a gateway and a holder of its connections: the next message is of this one.
+    /// Between a gateway and an acceptor process: the client connection that the next message belongs to.
     50 Of {
-        /// The connection, by the holder's name for it.
+        /// The acceptor's number of the connection.
         connection: u64,
-        /// The earliest time at which it can have come, on the gateway's clock; 0 towards the holder.
+        /// The earliest time at which the message can have arrived, on the gateway's clock; 0 towards the
+        /// acceptor.
         came: Micros,
     }
-    /// Holder to gateway: a client asks for a page of the gateway.
+    /// Acceptor to gateway: a client requests a page.
     51 Page {
-        /// Names the request on its connection.
+        /// Identifies the request on its connection.
         number: u64,
-        /// Which.
+        /// The path of the page.
         path: String,
     }
-    /// Gateway to holder: the page.
+    /// Gateway to acceptor: the page.
     52 Paged {
         /// From `Page`.
         number: u64,
         /// The status code.
         status: u32,
-        /// Its text.
+        /// The page's text.
         body: Vec<u8>,
     }
-    /// Gateway to holder: hold connections on these terms.
+    /// Gateway to acceptor: the limits and settings for its connections.
     53 Terms {
-        /// As JSON; both are one program of one build.
+        /// As JSON; both processes run the same build.
         json: Vec<u8>,
     }
-    /// Holder to gateway: what it counted.
+    /// Acceptor to gateway: its counters.
     54 Counts {
         /// As JSON.
         json: Vec<u8>,
     }
-    /// Gateway to holder: take no more connections, and ask all to leave.
+    /// Gateway to acceptor: accept no more connections, and ask all clients to disconnect.
     55 Leave {}
-    /// Operator's tool to gateway: an order on a function's versions, or a question about them.
+    /// Operator's tool to gateway: an order or a query on a function's versions.
     60 Versions {
-        /// Chosen by the sender, used once on its connection.
+        /// Chosen by the sender; unique on its connection.
         number: u64,
-        /// The gateway's order key; it answers nobody who lacks it.
+        /// The gateway's order key; requests without it are rejected.
         key: String,
-        /// As JSON; `docs/VERSIONS.md` has its forms.
+        /// As JSON; `docs/VERSIONS.md` describes the formats.
         json: Vec<u8>,
     }
     /// Gateway to operator's tool: the answer.
--- a/crates/protocol/src/values.rs
+++ b/crates/protocol/src/values.rs
@@ -1,4 +1,4 @@
-//! The enums and structs that messages are made of.
+//! The enums and structs that messages contain.
 
 use crate::Micros;
 use crate::error::FrameError;
@@ -6,13 +6,13 @@
 use crate::macros::{wire_enum, wire_struct};
 
 wire_enum!(
-    /// What the peer that opens a connection is.
+    /// The role of the peer that opens a connection.
     Role {
         /// A client of a gateway.
         Client = 1 => "client",
-        /// A gateway, towards a worker or the worker list.
+        /// A gateway, connecting to a worker or a list service.
         Gateway = 2 => "gateway",
-        /// A worker, towards the worker list.
+        /// A worker, connecting to a list service.
         Worker = 3 => "worker",
     }
 );
@@ -21,15 +21,15 @@
     Status {
         /// It ran; the body is the function's answer.
         Served = 0 => "served",
-        /// It did not take effect and may be tried again without harm.
+        /// It had no effect and is safe to retry.
         Refused = 1 => "refused",
-        /// It failed; whether it took effect is not promised.
+        /// It failed; it may or may not have taken effect.
         Failed = 2 => "failed",
-        /// Still in progress (answer to an await).
+        /// Still in progress (in answers to an await).
         Pending = 3 => "pending",
-        /// No such call is known here (answer to an await).
+        /// The gateway knows no such call (in answers to an await).
         Unknown = 4 => "unknown",
-        /// The call is over, but its result is no longer kept (answer to an await).
+        /// The call has ended, but its result is no longer kept (in answers to an await).
         Expired = 5 => "expired",
     }
 );
@@ -46,16 +46,16 @@
         Miss = 3 => "miss",
         /// The load that the call waited for failed; the call never ran.
         LoadFailed = 4 => "load-failed",
-        /// Cancelled before it ran.
+        /// Canceled before it ran.
         Cancelled = 5 => "cancelled",
     }
 );
 wire_enum!(
-    /// Whether a listed worker may be given work.
+    /// Whether calls may be dispatched to a listed worker.
     Standing {
         /// Active.
         In = 0 => "in",
-        /// Finishing the calls that it has; takes no new ones.
+        /// Finishing its calls; accepts no new ones.
         Draining = 1 => "draining",
         /// Removed from service.
         Out = 2 => "out",
@@ -63,7 +63,7 @@
 );
 
 wire_struct!(
-    /// One worker on the list.
+    /// An entry of the worker list.
     Listed {
         /// Its name, kept when its process restarts.
         id: String,
@@ -71,36 +71,36 @@
         address: String,
         /// Its zone.
         zone: String,
-        /// Its kind of machine.
+        /// Its machine type.
         kind: String,
-        /// Its cell: workers that share what keys they have seen.
+        /// Its cell: the workers of a cell share the record of idempotency keys that they have seen.
         cell: u64,
-        /// Whether it may be given work.
+        /// Whether calls may be dispatched to it.
         standing: Standing,
         /// When its process last started, in microseconds since 1970; 0: long ago.
         started: Micros,
     }
 );
 wire_struct!(
-    /// Facts about a function that travel with its calls; 0: unknown.
+    /// Properties of a function, sent with its calls; 0: unknown.
     Shape {
         /// Memory of one instance, in MB.
         memory_mb: u32,
-        /// Calls that one instance runs at a time.
+        /// Concurrency of one instance.
         lanes: u32,
-        /// Usual time of a load, in microseconds.
+        /// Typical duration of a load, in microseconds.
         load_time: Micros,
-        /// Usual work of a call on one core, in microseconds.
+        /// Typical CPU time of a call on one core, in microseconds.
         work: Micros,
     }
 );
 
 wire_struct!(
-    /// Which version of a function ran, as the worker reports it.
+    /// The version of a function that ran, as reported by the worker.
     Origin {
-        /// The function, as it was asked of the worker: with its version, if it has one.
+        /// The function as named in the request to the worker: with its version, if it has one.
         function: String,
-        /// A digest of its bytes, such as `sha256:...`; empty: unknown.
+        /// A digest of the function's code, such as `sha256:...`; empty: unknown.
         digest: String,
     }
 );
--- a/crates/protocol/tests/frames.rs
+++ b/crates/protocol/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames: round trips, arbitrary cuts, arbitrary bytes.
+//! Frames: round trips in arbitrary chunks, arbitrary bytes.
 
 use cresswheel_protocol::*;
 use proptest::prelude::*;
@@ -100,7 +100,7 @@
     })]
 
     #[test]
-    fn what_is_written_is_read(messages in prop::collection::vec(message(), 1..5), cut in 1usize..70) {
+    fn messages_round_trip_in_any_chunks(messages in prop::collection::vec(message(), 1..5), cut in 1usize..70) {
         let mut bytes = Vec::new();
         messages.iter().for_each(|m| encode(m, &mut bytes));
         let mut decoder = Decoder::new(Limits::default());
@@ -116,7 +116,7 @@
     }
 
     #[test]
-    fn any_bytes_end_in_an_error_or_a_wait(bytes in body(), limit in 6usize..400) {
+    fn any_bytes_give_an_error_or_need_more(bytes in body(), limit in 6usize..400) {
         let mut decoder = Decoder::new(Limits { frame: limit });
         decoder.push(&bytes);
         while let Ok(Some(_)) = decoder.decode() {}
@@ -126,7 +126,7 @@
     }
 
     #[test]
-    fn a_damaged_frame_is_never_more_than_an_error(message in message(), at in any::<prop::sample::Index>(), with: u8) {
+    fn a_damaged_frame_causes_no_panic(message in message(), at in any::<prop::sample::Index>(), with: u8) {
         let mut bytes = Vec::new();
         encode(&message, &mut bytes);
         let at = at.index(bytes.len());
@@ -137,28 +137,28 @@
     }
 }
 
-fn fails(bytes: &[u8]) -> String {
+fn error_text(bytes: &[u8]) -> String {
     let mut decoder = Decoder::new(Limits { frame: 100 });
     decoder.push(bytes);
     decoder.decode().unwrap_err().to_string()
 }
 
 #[test]
-fn each_fault_is_named() {
-    assert_eq!(fails(&[0xff, 0xff, 0xff, 0xff, VERSION, 1]), "frame of 4294967299 bytes, 100 at most");
-    assert_eq!(fails(&[0, 0, 0, 1, VERSION, 1]), "frame of 1 bytes, shorter than its header");
-    assert_eq!(fails(&[0, 0, 0, 2, 9, 1]), "protocol version 9, this side speaks 1");
-    assert_eq!(fails(&[0, 0, 0, 3, VERSION, 1, 77]), "role has the value 77, which means nothing");
-    assert_eq!(fails(&[0, 0, 0, 4, VERSION, 2, 0, 5]), "reason runs past the frame");
-    assert_eq!(fails(&[0, 0, 0, 4, VERSION, 2, 9, 0]), "reason has 2304 bytes, 512 at most");
-    assert_eq!(fails(&[0, 0, 0, 5, VERSION, 2, 0, 1, 0xff]), "reason is not UTF-8");
-    // A list that announces four thousand million entries holds none of them.
+fn each_error_names_the_field() {
+    assert_eq!(error_text(&[0xff, 0xff, 0xff, 0xff, VERSION, 1]), "frame of 4294967299 bytes, 100 at most");
+    assert_eq!(error_text(&[0, 0, 0, 1, VERSION, 1]), "frame of 1 bytes, shorter than its header");
+    assert_eq!(error_text(&[0, 0, 0, 2, 9, 1]), "protocol version 9, this side speaks 1");
+    assert_eq!(error_text(&[0, 0, 0, 3, VERSION, 1, 77]), "role has the value 77, which means nothing");
+    assert_eq!(error_text(&[0, 0, 0, 4, VERSION, 2, 0, 5]), "reason runs past the frame");
+    assert_eq!(error_text(&[0, 0, 0, 4, VERSION, 2, 9, 0]), "reason has 2304 bytes, 512 at most");
+    assert_eq!(error_text(&[0, 0, 0, 5, VERSION, 2, 0, 1, 0xff]), "reason is not UTF-8");
+    // A list that announces 2^32 - 1 entries and contains none.
     let list = [0, 0, 0, 15, VERSION, 31, 1, 0, 0, 0, 0, 0, 0, 0, 0, 0xff, 0xff, 0xff, 0xff];
-    assert_eq!(fails(&list), "id runs past the frame");
+    assert_eq!(error_text(&list), "id runs past the frame");
 }
 
 #[test]
-fn unknown_kinds_and_later_fields_are_passed_over() {
+fn unknown_kinds_and_extra_fields_are_ignored() {
     let mut bytes = vec![0, 0, 0, 4, VERSION, 250, 1, 2];
     bytes.extend([0, 0, 0, 12, VERSION, 4, 0, 0, 0, 0, 0, 0, 0, 7, 9, 9]);
     let mut decoder = Decoder::new(Limits::default());
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn fields_that_came_later_may_be_missing_but_not_be_cut() {
+fn optional_fields_may_be_missing_but_not_truncated() {
     let origin = Some(Origin { function: "f@2".into(), digest: "d".into() });
     let answer = |origin| Message::Ran { attempt: 1, ending: Ending::Ok, crowd: 0, body: vec![7], origin };
     let read = |bytes: &[u8]| {
--- a/crates/protocol/tests/http.rs
+++ b/crates/protocol/tests/http.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1: what is read, in whatever pieces, and what is refused.
+//! HTTP/1.1: decoding in arbitrary chunks, and rejected requests.
 
 use cresswheel_protocol::http::*;
 use proptest::prelude::*;
@@ -32,7 +32,7 @@
     POST /c HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n3;a=b\r\nabc\r\nA\r\n0123456789\r\n0\r\nt: v\r\n\r\n";
 
 #[test]
-fn pipelined_requests_in_any_pieces() {
+fn pipelined_requests_in_any_chunks() {
     for cut in 1..PIPELINED.len() {
         let read = requests(PIPELINED, cut);
         assert_eq!(read.len(), 3, "pieces of {cut}");
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_client_that_waits_is_told_to_go_on_once() {
+fn a_waiting_client_gets_one_continue() {
     let head = b"POST /a HTTP/1.1\r\nHost: x\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n";
     assert_eq!(steps(head, head.len()).0, vec![Step::Continue]);
     let mut whole = head.to_vec();
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn what_could_be_read_in_two_ways_is_refused() {
+fn ambiguous_and_invalid_requests_are_rejected() {
     let head = |lines: &str| format!("POST / HTTP/1.1\r\nHost: x\r\n{lines}\r\n");
     let cases = [
         (head("Content-Length: 1\r\nContent-Length: 2\r\n"), 400),
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_response_says_its_length_and_takes_no_line_ends() {
+fn a_response_has_its_length_and_no_injected_line_ends() {
     let mut out = Vec::new();
     respond(&mut out, 200, &[("location", "/x"), ("bad", "a\r\nb: c")], b"hi", false);
     let text = String::from_utf8(out).unwrap();
@@ -99,7 +99,7 @@
         failure_persistence: None, rng_seed: RngSeed::Fixed(12), ..ProptestConfig::with_cases(256)
     })]
     #[test]
-    fn any_bytes_are_read_alike_in_any_pieces(bytes in "(POST / HTTP/1.1\r\nHost: x\r\n)?(Transfer-Encoding: chunked\r\n)?[a-fA-F0-9:\r\n ]{0,60}", cut in 1usize..20) {
+    fn any_bytes_decode_alike_in_any_chunks(bytes in "(POST / HTTP/1.1\r\nHost: x\r\n)?(Transfer-Encoding: chunked\r\n)?[a-fA-F0-9:\r\n ]{0,60}", cut in 1usize..20) {
         let whole = steps(bytes.as_bytes(), bytes.len().max(1));
         let pieces = steps(bytes.as_bytes(), cut);
         prop_assert_eq!(whole, pieces);
