--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -23,7 +23,8 @@
     pub list: Vec<SocketAddr>,
     /// Workers that no list service lists.
     pub workers: Vec<Listed>,
-    /// The folder for the last worker list and the version orders; without one neither is stored.
+    /// The folder for the last worker list and the version orders; without one the list is not saved and
+    /// orders are rejected.
     pub state: Option<PathBuf>,
     /// The number of acceptor processes; if not given, as many as the limit on file descriptors requires,
     /// often 0.
--- a/crates/gateway/src/versions.rs
+++ b/crates/gateway/src/versions.rs
@@ -27,7 +27,7 @@
     incarnation: u64,
     next_check: Micros,
     /// Calls that both versions run, by a number of their own.
-    comparisons: HashMap<u64, Comparison>,
+    comparisons: HashMap<u64, ShadowComparison>,
     /// The comparisons that wait for the answer to the client's call.
     comparison_of_client: HashMap<Client, u64>,
     last_comparison: u64,
@@ -41,7 +41,7 @@
 const COMPARISON_TIMEOUT: Micros = 60_000_000;
 
 /// The answers of the new and the old version to one call.
-struct Comparison {
+struct ShadowComparison {
     function: String,
     criteria: Compare,
     started_at: Micros,
@@ -123,8 +123,9 @@
         self.versions.answered(&call.function, side, &call.class, end, erred);
     }
 
-    /// The shadow call to the old version, if the answers of both versions are to be compared. Deferred calls
-    /// get none. A shadow call has no idempotency key.
+    /// The shadow call to the old version, if the answers of both versions are to be compared. The call must
+    /// be safe to run twice; deferred calls get none. A shadow call has no idempotency key, so that no retry
+    /// of the client matches it.
     pub fn shadow_call(&mut self, now: Micros, call: &Call, client: Client) -> Option<(Client, Call)> {
         let route = call.route.as_ref().filter(|route| route.new && !call.deferred)?;
         let (plan, compare) = self.versions.compare(&call.function)?;
@@ -135,7 +136,7 @@
         let route = Route { function, digest, twin: true, new: !route.new };
         let trace = if call.trace.is_empty() { String::new() } else { format!("{}~twin", call.trace) };
         self.last_comparison += 1;
-        let comparison = Comparison {
+        let comparison = ShadowComparison {
             function: call.function.clone(),
             criteria: compare,
             started_at: now,
--- a/crates/protocol/src/message.rs
+++ b/crates/protocol/src/message.rs
@@ -90,7 +90,7 @@
         trace: String,
         /// The client's timeout; 0: that of the class.
         time_left: Micros,
-        /// What is known of the function.
+        /// Known properties of the function.
         shape: Shape,
         /// The arguments.
         body: Vec<u8>,
@@ -150,7 +150,7 @@
         key: String,
         /// Time until the client's deadline.
         time_left: Micros,
-        /// What is known of the function.
+        /// Known properties of the function.
         shape: Shape,
         /// The arguments.
         body: Vec<u8>,
@@ -181,7 +181,7 @@
         function: String,
         /// Number of instances, 16 at most.
         count: u32,
-        /// What is known of the function.
+        /// Known properties of the function.
         shape: Shape,
     }
     /// Worker to gateway: how an order ended.
