--- a/crates/gateway/src/holders.rs
+++ b/crates/gateway/src/holders.rs
@@ -1,8 +1,9 @@
-//! Processes that hold connections, where one can't have descriptors enough: started, watched, started again.
+//! Starts, monitors and restarts acceptor processes, which hold the client connections where the file
+//! descriptors of one process are too few.
 //!
-//! All share the listening sockets, which stay open here as well: a holder that dies takes the connections that it
-//! held and none that still wait to be accepted. Calls of its connections are called off as those of any client
-//! that leaves.
+//! All of them share the listening sockets, which the gateway keeps open as well: when an acceptor exits, its
+//! connections are lost, but none that are still in the accept queue. Calls of lost connections are canceled
+//! like those of any client that disconnects.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -15,90 +16,95 @@
 use cresswheel_protocol::{Message, Micros};
 use cresswheel_transport::{Connection, Hub, Notice, Wire};
 
-/// Gives the command that runs a holder, its standard input still to be set.
+/// Builds the command that runs an acceptor process; its standard input is set afterwards.
 pub type HolderCommand = Box<dyn Fn() -> io::Result<Command>>;
 
-/// A holder that lived this long died of something new.
-const LIVED: Micros = 10_000_000;
-const AGAIN_FIRST: Micros = 50_000;
-const AGAIN_MOST: Micros = 5_000_000;
+/// An acceptor that ran for this long is restarted without a delay.
+const STABLE_AFTER: Micros = 10_000_000;
+const MIN_RESTART_DELAY: Micros = 50_000;
+const MAX_RESTART_DELAY: Micros = 5_000_000;
 
-struct Holder {
+struct Acceptor {
+    /// The socket between the gateway and this process.
     trunk: Connection,
     child: Child,
-    since: Micros,
-    /// The next message on the trunk is this connection's, and came then.
-    of: Option<(Connection, Micros)>,
-    /// Connections that are owed answers, and to which numbers.
-    owed: BTreeMap<Connection, BTreeSet<u64>>,
+    started_at: Micros,
+    /// Connection and arrival time of the next message on the trunk.
+    next_message: Option<(Connection, Micros)>,
+    /// The numbers of unanswered requests, by connection.
+    unanswered: BTreeMap<Connection, BTreeSet<u64>>,
     counts: DoorCounts,
-    /// What it was told last.
-    room_elsewhere: bool,
+    /// The value it was sent last.
+    capacity_elsewhere: bool,
 }
 
-impl Holder {
-    /// Nothing is owed for this number any more.
-    fn settled(&mut self, connection: Connection, number: u64) {
-        if let Some(owed) = self.owed.get_mut(&connection) {
-            owed.remove(&number);
-            if owed.is_empty() {
-                self.owed.remove(&connection);
+impl Acceptor {
+    /// Removes a request that was answered or canceled.
+    fn remove_unanswered(&mut self, connection: Connection, number: u64) {
+        if let Some(unanswered) = self.unanswered.get_mut(&connection) {
+            unanswered.remove(&number);
+            if unanswered.is_empty() {
+                self.unanswered.remove(&connection);
             }
         }
     }
 }
 
-enum Place {
-    Taken(Box<Holder>),
-    /// Started at that time, with this wait before it.
-    Free(Micros, Micros),
+/// Holds one acceptor process, or waits to start it.
+enum Slot {
+    Running(Box<Acceptor>),
+    /// When to start the process, and the delay before the start after that.
+    Vacant(Micros, Micros),
 }
 
-/// A connection of a client, of whatever process: that of a holder has the holder's life in its upper bits.
-pub type Key = u64;
+/// A client connection of any process. The upper bits hold the acceptor's incarnation; 0 is the gateway
+/// itself.
+pub type ConnectionKey = u64;
 
-const LIFE: u32 = 48;
+/// Position of the incarnation in a [`ConnectionKey`].
+const INCARNATION_SHIFT: u32 = 48;
 
-/// What came from a holder.
-#[expect(clippy::large_enum_variant, reason = "made and taken apart at once, never kept")]
-pub enum FromHolder {
-    /// A client asks.
-    Ask(Key, Ask),
-    /// Connections that are gone with their holder.
-    Gone(Vec<Key>),
+/// An event from an acceptor process.
+#[expect(clippy::large_enum_variant, reason = "consumed at once, never stored")]
+pub enum AcceptorEvent {
+    /// A client's request.
+    Request(ConnectionKey, Ask),
+    /// The process exited with these connections, which had unanswered requests.
+    Exited(Vec<ConnectionKey>),
 }
 
-pub struct Holders {
+/// The acceptor processes of this gateway.
+pub struct Acceptors {
     command: HolderCommand,
     listeners: Vec<socket2::Socket>,
     /// The second listener speaks HTTP.
     http: bool,
     terms: ClientTerms,
-    places: Vec<Place>,
-    /// Lives so far; each names its connections with its own.
-    lives: u16,
-    by_life: BTreeMap<u16, usize>,
-    /// Ended, but not yet buried.
-    ended: Vec<Child>,
-    leaving: bool,
+    slots: Vec<Slot>,
+    /// The incarnation given to the process started last.
+    last_incarnation: u16,
+    slots_by_incarnation: BTreeMap<u16, usize>,
+    /// Exited or killed, but not yet reaped.
+    exited: Vec<Child>,
+    draining: bool,
     /// All calls are answered.
     finishing: bool,
     paused: bool,
-    /// Holders started after the first ones.
+    /// Processes started after the initial ones.
     pub restarts: u64,
 }
 
-fn life(key: Key) -> u16 {
-    (key >> LIFE) as u16
+fn incarnation(key: ConnectionKey) -> u16 {
+    (key >> INCARNATION_SHIFT) as u16
 }
 
-/// A connection of this process.
-pub fn is_ours(key: Key) -> bool {
-    life(key) == 0
+/// Whether the connection belongs to this process.
+pub fn is_local(key: ConnectionKey) -> bool {
+    incarnation(key) == 0
 }
 
-impl Holders {
-    /// None yet; [`Holders::tick`] starts them.
+impl Acceptors {
+    /// Starts no process yet; [`Acceptors::tick`] does.
     pub fn new(
         command: HolderCommand,
         listeners: Vec<socket2::Socket>,
@@ -110,236 +116,258 @@
             http: listeners.len() > 1,
             listeners,
             terms,
-            places: (0..count).map(|_| Place::Free(0, AGAIN_FIRST)).collect(),
-            lives: 0,
-            by_life: BTreeMap::new(),
-            ended: Vec::new(),
-            leaving: false,
+            slots: (0..count).map(|_| Slot::Vacant(0, MIN_RESTART_DELAY)).collect(),
+            last_incarnation: 0,
+            slots_by_incarnation: BTreeMap::new(),
+            exited: Vec::new(),
+            draining: false,
             finishing: false,
             paused: false,
             restarts: 0,
         }
     }
 
-    fn taken(&self) -> impl Iterator<Item = &Holder> {
-        self.places.iter().filter_map(|place| match place {
-            Place::Taken(holder) => Some(&**holder),
-            Place::Free(..) => None,
+    fn running(&self) -> impl Iterator<Item = &Acceptor> {
+        self.slots.iter().filter_map(|slot| match slot {
+            Slot::Running(acceptor) => Some(&**acceptor),
+            Slot::Vacant(..) => None,
         })
     }
 
-    /// How many there should be.
+    /// The configured number of processes.
     pub fn count(&self) -> usize {
-        self.places.len()
+        self.slots.len()
     }
 
-    /// How many there are.
+    /// The number of running processes.
     pub fn alive(&self) -> usize {
-        self.taken().count()
+        self.running().count()
     }
 
-    /// What each counted, as far as it has told.
+    /// The last counters that each process reported.
     pub fn counts(&self) -> impl Iterator<Item = &DoorCounts> {
-        self.taken().map(|holder| &holder.counts)
+        self.running().map(|acceptor| &acceptor.counts)
     }
 
-    fn told(&self, hub: &Hub, room_elsewhere: bool) -> Message {
-        let (clock, http, finish) = (hub.clock().base(), self.http, self.finishing);
-        let told = trunk::Told { clock, terms: self.terms, http, room_elsewhere, finish };
-        Message::Terms { json: serde_json::to_vec(&told).unwrap_or_default() }
+    fn terms_message(&self, event_loop: &Hub, capacity_elsewhere: bool) -> Message {
+        let (clock, http, finish) = (event_loop.clock().base(), self.http, self.finishing);
+        let terms =
+            trunk::Told { clock, terms: self.terms, http, room_elsewhere: capacity_elsewhere, finish };
+        Message::Terms { json: serde_json::to_vec(&terms).unwrap_or_default() }
     }
 
-    /// New terms, for all.
-    pub fn change(&mut self, hub: &mut Hub, terms: ClientTerms) {
+    /// Sends new terms to all processes.
+    pub fn set_terms(&mut self, event_loop: &mut Hub, terms: ClientTerms) {
         self.terms = terms;
-        self.tell_of_room(hub, true);
+        self.send_terms(event_loop, true);
     }
 
-    /// A full holder makes nobody give way while another has places; one that starts has them all.
-    fn tell_of_room(&mut self, hub: &mut Hub, all: bool) {
-        let most = self.terms.door.connections;
-        let room = |place: &Place| match place {
-            Place::Taken(holder) => holder.counts.connections < most,
-            Place::Free(..) => true,
+    /// Tells each process whether another one has capacity for connections, if that changed or if `all` is
+    /// set. A full process closes no connection in favor of a new one while another has capacity; one that is
+    /// about to start has its whole capacity.
+    fn send_terms(&mut self, event_loop: &mut Hub, all: bool) {
+        let max = self.terms.door.connections;
+        let has_capacity = |slot: &Slot| match slot {
+            Slot::Running(acceptor) => acceptor.counts.connections < max,
+            Slot::Vacant(..) => true,
         };
-        let rooms: Vec<bool> = self.places.iter().map(room).collect();
-        for at in 0..self.places.len() {
-            let elsewhere = rooms.iter().enumerate().any(|(other, room)| other != at && *room);
-            let told = self.told(hub, elsewhere);
-            let Place::Taken(holder) = &mut self.places[at] else { continue };
-            if std::mem::replace(&mut holder.room_elsewhere, elsewhere) != elsewhere || all {
-                hub.send(holder.trunk, &told, None);
+        let has_capacity: Vec<bool> = self.slots.iter().map(has_capacity).collect();
+        for at in 0..self.slots.len() {
+            let elsewhere = has_capacity.iter().enumerate().any(|(other, has)| other != at && *has);
+            let terms_message = self.terms_message(event_loop, elsewhere);
+            let Slot::Running(acceptor) = &mut self.slots[at] else { continue };
+            if std::mem::replace(&mut acceptor.capacity_elsewhere, elsewhere) != elsewhere || all {
+                event_loop.send(acceptor.trunk, &terms_message, None);
             }
         }
     }
 
-    fn tell_all(&self, hub: &mut Hub, message: &Message) {
-        self.taken().for_each(|holder| _ = hub.send(holder.trunk, message, None));
+    fn broadcast(&self, event_loop: &mut Hub, message: &Message) {
+        self.running().for_each(|acceptor| _ = event_loop.send(acceptor.trunk, message, None));
     }
 
-    /// No more connections after those that wait to be accepted; all are asked to leave.
-    pub fn leave(&mut self, hub: &mut Hub) {
-        self.leaving = true;
-        // Whoever holds a listener last has taken all that waited there.
+    /// Accepts only the connections that are in the accept queue already, and asks all clients to disconnect.
+    pub fn drain(&mut self, event_loop: &mut Hub) {
+        self.draining = true;
+        // The process that closes a listener last has accepted all that was queued there.
         self.listeners.clear();
-        for place in &mut self.places {
-            if let Place::Taken(holder) = place {
-                holder.counts.asking = holder.counts.connections > 0;
+        for slot in &mut self.slots {
+            if let Slot::Running(acceptor) = slot {
+                acceptor.counts.asking = acceptor.counts.connections > 0;
             }
         }
-        self.tell_all(hub, &Message::Leave {});
+        self.broadcast(event_loop, &Message::Leave {});
     }
 
-    /// Stops or resumes reading what clients ask.
-    pub fn pause(&mut self, hub: &mut Hub, paused: bool) {
+    /// Pauses or resumes reading requests.
+    pub fn pause(&mut self, event_loop: &mut Hub, paused: bool) {
         if std::mem::replace(&mut self.paused, paused) != paused {
-            self.taken().for_each(|holder| hub.pause(holder.trunk, paused));
+            self.running().for_each(|acceptor| event_loop.pause(acceptor.trunk, paused));
         }
     }
 
-    /// All calls are answered: each holder ends once its connections have.
-    pub fn finish(&mut self, hub: &mut Hub) {
+    /// Called once all calls are answered: each process exits when its connections have ended.
+    pub fn finish(&mut self, event_loop: &mut Hub) {
         self.finishing = true;
-        self.tell_of_room(hub, true);
+        self.send_terms(event_loop, true);
     }
 
-    /// Starts those that are due, and buries those that ended.
-    pub fn tick(&mut self, hub: &mut Hub) {
-        self.ended.retain_mut(|child| matches!(child.try_wait(), Ok(None)));
-        let now = hub.clock().now();
-        for place in 0..self.places.len() {
-            let Place::Free(at, wait) = self.places[place] else { continue };
-            if at > now || self.leaving {
+    /// Starts the processes that are due and reaps those that exited.
+    pub fn tick(&mut self, event_loop: &mut Hub) {
+        self.exited.retain_mut(|child| matches!(child.try_wait(), Ok(None)));
+        let now = event_loop.clock().now();
+        for place in 0..self.slots.len() {
+            let Slot::Vacant(at, delay) = self.slots[place] else { continue };
+            if at > now || self.draining {
                 continue;
             }
-            match self.start(hub, now) {
-                Ok(holder) => {
-                    self.by_life.insert(self.lives, place);
+            match self.start(event_loop, now) {
+                Ok(acceptor) => {
+                    self.slots_by_incarnation.insert(self.last_incarnation, place);
                     self.restarts += u64::from(at > 0);
-                    tracing::info!(place, process = holder.child.id(), "a holder of connections starts");
-                    self.places[place] = Place::Taken(Box::new(holder));
+                    tracing::info!(place, process = acceptor.child.id(), "acceptor process started");
+                    self.slots[place] = Slot::Running(Box::new(acceptor));
                 }
                 Err(error) => {
-                    tracing::error!(%error, "a holder of connections can't be started");
-                    self.places[place] = Place::Free(now + wait, (wait * 2).min(AGAIN_MOST));
+                    tracing::error!(%error, "acceptor process could not be started");
+                    self.slots[place] = Slot::Vacant(now + delay, (delay * 2).min(MAX_RESTART_DELAY));
                 }
             }
         }
     }
 
-    fn start(&mut self, hub: &mut Hub, now: Micros) -> io::Result<Holder> {
+    fn start(&mut self, event_loop: &mut Hub, now: Micros) -> io::Result<Acceptor> {
         let (ours, theirs) = UnixStream::pair()?;
         trunk::hand_over(&ours, &self.listeners)?;
         let mut command = (self.command)()?;
         command.stdin(Stdio::from(OwnedFd::from(theirs))).stdout(Stdio::null());
         let child = command.spawn()?;
-        let trunk = hub.adopt(ours.into(), Wire::Frames)?;
-        let room_elsewhere = self.places.len() > 1;
-        let told = self.told(hub, room_elsewhere);
-        hub.send(trunk, &told, None);
-        hub.pause(trunk, self.paused);
-        // A life's number comes again after 65,535 others; one that still lives keeps its own.
+        let trunk = event_loop.adopt(ours.into(), Wire::Frames)?;
+        let capacity_elsewhere = self.slots.len() > 1;
+        let terms_message = self.terms_message(event_loop, capacity_elsewhere);
+        event_loop.send(trunk, &terms_message, None);
+        event_loop.pause(trunk, self.paused);
+        // Incarnations repeat after 65,535 starts; skip those of processes that still run.
         loop {
-            self.lives = self.lives.wrapping_add(1).max(1);
-            if !self.by_life.contains_key(&self.lives) {
+            self.last_incarnation = self.last_incarnation.wrapping_add(1).max(1);
+            if !self.slots_by_incarnation.contains_key(&self.last_incarnation) {
                 break;
             }
         }
         let counts = DoorCounts::default();
-        Ok(Holder { trunk, child, since: now, of: None, owed: BTreeMap::new(), counts, room_elsewhere })
+        Ok(Acceptor {
+            trunk,
+            child,
+            started_at: now,
+            next_message: None,
+            unanswered: BTreeMap::new(),
+            counts,
+            capacity_elsewhere,
+        })
     }
 
-    /// When [`Holders::tick`] is wanted next.
+    /// When [`Acceptors::tick`] is due next.
     pub fn next_due(&self, now: Micros) -> Option<Micros> {
-        let starts = self.places.iter().filter_map(|place| match place {
-            Place::Free(at, _) if !self.leaving => Some(*at),
+        let starts = self.slots.iter().filter_map(|slot| match slot {
+            Slot::Vacant(at, _) if !self.draining => Some(*at),
             _ => None,
         });
-        starts.chain((!self.ended.is_empty()).then_some(now + AGAIN_FIRST)).min()
+        starts.chain((!self.exited.is_empty()).then_some(now + MIN_RESTART_DELAY)).min()
     }
 
-    fn place_of(&self, trunk: Connection) -> Option<(u16, usize)> {
-        let is = |place: usize| matches!(&self.places[place], Place::Taken(h) if h.trunk == trunk);
-        self.by_life.iter().map(|(life, place)| (*life, *place)).find(|(_, place)| is(*place))
+    fn slot_of(&self, trunk: Connection) -> Option<(u16, usize)> {
+        let is_trunk = |slot: usize| matches!(&self.slots[slot], Slot::Running(a) if a.trunk == trunk);
+        self.slots_by_incarnation
+            .iter()
+            .map(|(incarnation, slot)| (*incarnation, *slot))
+            .find(|(_, slot)| is_trunk(*slot))
     }
 
-    /// Whether this is a holder's trunk.
+    /// Whether this is the trunk of a running process.
     pub fn is_trunk(&self, connection: Connection) -> bool {
-        self.place_of(connection).is_some()
+        self.slot_of(connection).is_some()
     }
 
-    /// A notice of a trunk.
-    pub fn notice(&mut self, hub: &mut Hub, notice: Notice) -> Option<FromHolder> {
+    /// Handles a notice of a trunk.
+    pub fn handle_notice(&mut self, event_loop: &mut Hub, notice: Notice) -> Option<AcceptorEvent> {
         match notice {
             Notice::Message(connection, message) => {
-                let (life, place) = self.place_of(connection)?;
+                let (incarnation, slot) = self.slot_of(connection)?;
                 let counts = matches!(message, Message::Counts { .. });
-                let from = self.message(life, place, message);
+                let from = self.handle_message(incarnation, slot, message);
                 if counts {
-                    self.tell_of_room(hub, false);
+                    self.send_terms(event_loop, false);
                 }
                 from
             }
             Notice::Closed { connection, why, .. } => {
-                let (life, place) = self.place_of(connection)?;
-                Some(self.died(hub, life, place, &why))
+                let (incarnation, slot) = self.slot_of(connection)?;
+                Some(self.handle_exit(event_loop, incarnation, slot, &why))
             }
             _ => None,
         }
     }
 
-    fn message(&mut self, life: u16, place: usize, message: Message) -> Option<FromHolder> {
-        let Place::Taken(holder) = &mut self.places[place] else { return None };
+    fn handle_message(&mut self, incarnation: u16, slot: usize, message: Message) -> Option<AcceptorEvent> {
+        let Slot::Running(acceptor) = &mut self.slots[slot] else { return None };
         match message {
-            Message::Of { connection, came } => holder.of = Some((connection, came)),
+            Message::Of { connection, came } => acceptor.next_message = Some((connection, came)),
             Message::Counts { json } => {
-                holder.counts = serde_json::from_slice(&json).unwrap_or_default();
-                // Counted before it heard that all are to leave.
-                holder.counts.asking |=
-                    self.leaving && holder.counts.asked == 0 && holder.counts.connections > 0;
+                acceptor.counts = serde_json::from_slice(&json).unwrap_or_default();
+                // These may have been counted before the process received `Leave`.
+                acceptor.counts.asking |=
+                    self.draining && acceptor.counts.asked == 0 && acceptor.counts.connections > 0;
             }
             message => {
-                let (connection, came) = holder.of.take()?;
+                let (connection, came) = acceptor.next_message.take()?;
                 match &message {
-                    Message::Cancel { number } => holder.settled(connection, *number),
-                    Message::Bye { .. } => _ = holder.owed.remove(&connection),
+                    Message::Cancel { number } => acceptor.remove_unanswered(connection, *number),
+                    Message::Bye { .. } => _ = acceptor.unanswered.remove(&connection),
                     asked => {
                         if let Some(number) = asked_number(asked) {
-                            holder.owed.entry(connection).or_default().insert(number);
+                            acceptor.unanswered.entry(connection).or_default().insert(number);
                         }
                     }
                 }
-                let key = u64::from(life) << LIFE | connection;
-                return Some(FromHolder::Ask(key, Ask { connection, came, message }));
+                let key = u64::from(incarnation) << INCARNATION_SHIFT | connection;
+                return Some(AcceptorEvent::Request(key, Ask { connection, came, message }));
             }
         }
         None
     }
 
-    fn died(&mut self, hub: &Hub, life: u16, place: usize, why: &str) -> FromHolder {
-        self.by_life.remove(&life);
-        let now = hub.clock().now();
-        let holder = std::mem::replace(&mut self.places[place], Place::Free(now, AGAIN_FIRST));
-        let Place::Taken(mut holder) = holder else { return FromHolder::Gone(Vec::new()) };
-        if !self.leaving {
-            let (process, held) = (holder.child.id(), holder.counts.connections);
-            tracing::warn!(process, held, %why, "a holder of connections is gone");
+    fn handle_exit(&mut self, event_loop: &Hub, incarnation: u16, slot: usize, why: &str) -> AcceptorEvent {
+        self.slots_by_incarnation.remove(&incarnation);
+        let now = event_loop.clock().now();
+        let acceptor = std::mem::replace(&mut self.slots[slot], Slot::Vacant(now, MIN_RESTART_DELAY));
+        let Slot::Running(mut acceptor) = acceptor else { return AcceptorEvent::Exited(Vec::new()) };
+        if !self.draining {
+            let (process, held) = (acceptor.child.id(), acceptor.counts.connections);
+            tracing::warn!(process, held, %why, "acceptor process exited");
         }
-        // It may only have lost its trunk; without one it is of no use.
-        let _ = holder.child.kill();
-        let soon = if holder.since + LIVED < now { 0 } else { AGAIN_FIRST };
-        self.places[place] = Place::Free(now + soon, AGAIN_FIRST * 2);
-        self.ended.push(holder.child);
-        FromHolder::Gone(holder.owed.into_keys().map(|c| u64::from(life) << LIFE | c).collect())
+        // The process may still run, with only its trunk lost; without the trunk it is of no use.
+        let _ = acceptor.child.kill();
+        let delay = if acceptor.started_at + STABLE_AFTER < now { 0 } else { MIN_RESTART_DELAY };
+        self.slots[slot] = Slot::Vacant(now + delay, MIN_RESTART_DELAY * 2);
+        self.exited.push(acceptor.child);
+        AcceptorEvent::Exited(
+            acceptor
+                .unanswered
+                .into_keys()
+                .map(|c| u64::from(incarnation) << INCARNATION_SHIFT | c)
+                .collect(),
+        )
     }
 
-    /// Hands a message for a client to its holder.
-    pub fn reply(&mut self, hub: &mut Hub, key: Key, message: &Message) {
-        let Some(place) = self.by_life.get(&life(key)) else { return };
-        let Place::Taken(holder) = &mut self.places[*place] else { return };
-        let connection = key & ((1 << LIFE) - 1);
-        answered_number(message).into_iter().for_each(|number| holder.settled(connection, number));
-        hub.send(holder.trunk, &Message::Of { connection, came: 0 }, None);
-        hub.send(holder.trunk, message, None);
+    /// Sends a message for a client to the process that holds its connection.
+    pub fn reply(&mut self, event_loop: &mut Hub, key: ConnectionKey, message: &Message) {
+        let Some(slot) = self.slots_by_incarnation.get(&incarnation(key)) else { return };
+        let Slot::Running(acceptor) = &mut self.slots[*slot] else { return };
+        let connection = key & ((1 << INCARNATION_SHIFT) - 1);
+        answered_number(message)
+            .into_iter()
+            .for_each(|number| acceptor.remove_unanswered(connection, number));
+        event_loop.send(acceptor.trunk, &Message::Of { connection, came: 0 }, None);
+        event_loop.send(acceptor.trunk, message, None);
     }
 }
