--- a/crates/settings/examples/reload_cost.rs
+++ b/crates/settings/examples/reload_cost.rs
@@ -1,9 +1,10 @@
-//! What reading settings costs a gateway: bytes of the script, processor time and resident memory, by its sections.
+//! Measures what reading settings costs a gateway: size of the script, CPU time and resident memory, by the
+//! number of its sections.
 //!
 //! `cargo run --release -p cresswheel-settings --example reload_cost`
 //!
-//! A gateway reads them at its start and whole at each HUP, on the thread that serves calls, whatever has changed.
-//! Times are microseconds of the thread's processor time; memory is of a process of its own for each run.
+//! A gateway reads all settings at its start and at each HUP, on the thread that serves calls. Times are
+//! microseconds of the thread's CPU time; memory is measured in a separate process for each run.
 
 use std::fmt::Write;
 use std::hint::black_box;
@@ -11,8 +12,8 @@
 
 use cresswheel_measure::{Series, resident_bytes, thread_time, value_of_child};
 
-/// Sections of tenants. Beyond about 14,000 a script is longer than the 1 MiB that are read.
-const TENANTS: [usize; 6] = [1, 100, 1_000, 2_000, 5_000, 10_000];
+/// Numbers of `tenant(...)` sections. A script with more than about 14,000 exceeds the limit of 1 MiB.
+const TENANT_COUNTS: [usize; 6] = [1, 100, 1_000, 2_000, 5_000, 10_000];
 const RUNS: usize = 3;
 
 fn script(tenants: usize) -> String {
@@ -26,13 +27,14 @@
     text
 }
 
+/// Reads the settings; returns the CPU time in microseconds.
 fn read(path: &Path) -> f64 {
-    let began = thread_time();
+    let start = thread_time();
     match cresswheel_settings::read(path) {
         Ok(settings) => _ = black_box(settings),
-        Err(faults) => panic!("{faults}"),
+        Err(errors) => panic!("{errors}"),
     }
-    (thread_time() - began).as_secs_f64() * 1e6
+    (thread_time() - start).as_secs_f64() * 1e6
 }
 
 fn with_script<T>(tenants: usize, measure: impl FnOnce(&Path) -> T) -> T {
@@ -42,7 +44,8 @@
     measure(&path)
 }
 
-fn memory(tenants: usize) -> f64 {
+/// Resident memory that grows with reading the settings, in bytes.
+fn memory_growth(tenants: usize) -> f64 {
     with_script(tenants, |path| {
         let before = resident_bytes().expect("/proc");
         read(path);
@@ -52,16 +55,16 @@
 
 fn main() {
     if let Some(tenants) = std::env::args().nth(1) {
-        return println!("{}", memory(tenants.parse().expect("tenants")));
+        return println!("{}", memory_growth(tenants.parse().expect("tenants")));
     }
     let mut length = Series::new("a gateway's script", "bytes", "tenants");
     let mut time = Series::new("reading settings", "us", "tenants");
-    let mut held = Series::new("memory that grows with one reading", "resident bytes", "tenants");
-    for tenants in TENANTS {
+    let mut memory = Series::new("memory that grows with one reading", "resident bytes", "tenants");
+    for tenants in TENANT_COUNTS {
         length.add(tenants, vec![script(tenants).len() as f64]);
         time.add(tenants, with_script(tenants, |path| (0..RUNS).map(|_| read(path)).collect()));
         let child = [tenants.to_string()];
-        held.add(tenants, (0..RUNS).map(|_| value_of_child(&child).expect("a child")).collect());
+        memory.add(tenants, (0..RUNS).map(|_| value_of_child(&child).expect("a child")).collect());
     }
-    println!("{length}\n{time}\n{held}");
+    println!("{length}\n{time}\n{memory}");
 }
--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -1,213 +1,218 @@
-//! Typed reading of a section's fields, with every fault kept.
+//! Typed access to a section's fields. Errors are collected, so that one run reports all of them.
 
 use std::net::SocketAddr;
 
-use crate::Fault;
-use crate::raw::{Place, Raw, Section};
+use crate::SettingsError;
+use crate::raw::{Location, RawValue, Section};
 use crate::scale::Quantity;
 
+/// The fields of one section that were not read yet.
 pub struct Fields<'a> {
     kind: String,
-    place: Place,
-    fields: Vec<(String, Raw, Place)>,
+    location: Location,
+    fields: Vec<(String, RawValue, Location)>,
+    /// Names that were asked for, for hints about misspelt names.
     known: Vec<&'static str>,
-    faults: &'a mut Vec<Fault>,
+    errors: &'a mut Vec<SettingsError>,
 }
 
 impl<'a> Fields<'a> {
-    pub fn new(section: Section, faults: &'a mut Vec<Fault>) -> Self {
-        let Section { kind, place, fields } = section;
-        Self { kind, place, fields, known: Vec::new(), faults }
+    pub fn new(section: Section, errors: &'a mut Vec<SettingsError>) -> Self {
+        let Section { kind, location, fields } = section;
+        Self { kind, location, fields, known: Vec::new(), errors }
     }
 
-    fn take(&mut self, name: &'static str) -> Option<(Raw, Place)> {
+    fn take(&mut self, name: &'static str) -> Option<(RawValue, Location)> {
         self.known.push(name);
-        let at = self.fields.iter().position(|(key, ..)| key == name)?;
-        let (_, value, place) = self.fields.remove(at);
-        (value != Raw::None).then_some((value, place))
+        let position = self.fields.iter().position(|(key, ..)| key == name)?;
+        let (_, value, location) = self.fields.remove(position);
+        (value != RawValue::None).then_some((value, location))
     }
 
-    pub fn fault(&mut self, place: Place, what: String) {
-        self.faults.push(Fault { place, what });
+    pub fn add_error(&mut self, location: Location, message: String) {
+        self.errors.push(SettingsError { location, message });
     }
 
-    /// A contradiction between fields of the section.
-    pub fn must(&mut self, holds: bool, what: &str) {
+    /// Reports an error of the whole section unless `holds`.
+    pub fn require(&mut self, holds: bool, message: &str) {
         if !holds {
-            self.fault(self.place.clone(), format!("{}: {what}", self.kind));
+            self.add_error(self.location.clone(), format!("{}: {message}", self.kind));
         }
     }
 
-    /// A field of another kind, with words for what is wanted.
+    /// Reads a field with `parse`; `expected` describes valid values in the error.
     pub fn read<T>(
         &mut self,
         name: &'static str,
-        wanted: &str,
-        read: impl Fn(&Raw) -> Option<T>,
-    ) -> Option<(T, Place)> {
-        let (value, place) = self.take(name)?;
-        match read(&value) {
-            Some(read) => Some((read, place)),
+        expected: &str,
+        parse: impl Fn(&RawValue) -> Option<T>,
+    ) -> Option<(T, Location)> {
+        let (value, location) = self.take(name)?;
+        match parse(&value) {
+            Some(parsed) => Some((parsed, location)),
             None => {
-                self.fault(place, format!("{name} = {value}: {wanted} is wanted"));
+                self.add_error(location, format!("{name} = {value}: {expected} is wanted"));
                 None
             }
         }
     }
 
-    fn needed<T: Default>(&mut self, name: &'static str, value: Option<T>, was_there: bool) -> T {
-        if value.is_none() && !was_there {
-            self.fault(self.place.clone(), format!("{}: {name} is missing", self.kind));
+    fn required<T: Default>(&mut self, name: &'static str, value: Option<T>, was_set: bool) -> T {
+        if value.is_none() && !was_set {
+            self.add_error(self.location.clone(), format!("{}: {name} is missing", self.kind));
         }
         value.unwrap_or_default()
     }
 
-    /// Whether the script names it.
-    pub fn there(&self, name: &str) -> bool {
-        self.fields.iter().any(|(key, value, _)| key == name && *value != Raw::None)
+    /// Whether the script sets this field and it was not read yet.
+    pub fn is_set(&self, name: &str) -> bool {
+        self.fields.iter().any(|(key, value, _)| key == name && *value != RawValue::None)
     }
 
     pub fn text(&mut self, name: &'static str) -> Option<String> {
-        let text = |raw: &Raw| if let Raw::Text(text) = raw { Some(text.clone()) } else { None };
+        let text = |raw: &RawValue| if let RawValue::Text(text) = raw { Some(text.clone()) } else { None };
         self.read(name, "a text", text).map(|(text, _)| text)
     }
 
-    pub fn needed_text(&mut self, name: &'static str) -> String {
-        let there = self.there(name);
+    pub fn required_text(&mut self, name: &'static str) -> String {
+        let is_set = self.is_set(name);
         let text = self.text(name);
-        self.must(text.as_deref() != Some(""), &format!("{name} is empty"));
-        self.needed(name, text, there)
+        self.require(text.as_deref() != Some(""), &format!("{name} is empty"));
+        self.required(name, text, is_set)
     }
 
-    /// One of some words.
-    pub fn word<T: Copy>(&mut self, name: &'static str, words: &[(&str, T)]) -> Option<T> {
-        let all: Vec<_> = words.iter().map(|(word, _)| format!("{word:?}")).collect();
-        let find = |raw: &Raw| match raw {
-            Raw::Text(text) => words.iter().find(|(word, _)| word == text).map(|(_, value)| *value),
+    /// One of the given keywords.
+    pub fn keyword<T: Copy>(&mut self, name: &'static str, keywords: &[(&str, T)]) -> Option<T> {
+        let quoted: Vec<_> = keywords.iter().map(|(keyword, _)| format!("{keyword:?}")).collect();
+        let parse = |raw: &RawValue| match raw {
+            RawValue::Text(text) => {
+                keywords.iter().find(|(keyword, _)| keyword == text).map(|(_, value)| *value)
+            }
             _ => None,
         };
-        self.read(name, &all.join(" or "), find).map(|(value, _)| value)
+        self.read(name, &quoted.join(" or "), parse).map(|(value, _)| value)
     }
 
-    pub fn flag(&mut self, name: &'static str, absent: bool) -> bool {
-        let flag = |raw: &Raw| if let Raw::Bool(flag) = raw { Some(*flag) } else { None };
-        self.read(name, "True or False", flag).map_or(absent, |(flag, _)| flag)
+    pub fn flag(&mut self, name: &'static str, default: bool) -> bool {
+        let flag = |raw: &RawValue| if let RawValue::Bool(flag) = raw { Some(*flag) } else { None };
+        self.read(name, "True or False", flag).map_or(default, |(flag, _)| flag)
     }
 
-    /// A time; a bare number is a fault.
-    pub fn time(&mut self, name: &'static str, absent: u64) -> u64 {
-        self.time_if(name).unwrap_or(absent)
+    /// A time in microseconds; a number without a unit is an error.
+    pub fn time(&mut self, name: &'static str, default: u64) -> u64 {
+        self.optional_time(name).unwrap_or(default)
     }
 
-    pub fn time_if(&mut self, name: &'static str) -> Option<u64> {
-        let time = |raw: &Raw| if let Raw::Time(us) = raw { Some(*us) } else { None };
+    pub fn optional_time(&mut self, name: &'static str) -> Option<u64> {
+        let time = |raw: &RawValue| if let RawValue::Time(us) = raw { Some(*us) } else { None };
         self.read(name, "a time such as ms(600) or s(5)", time).map(|(us, _)| us)
     }
 
-    pub fn needed_time(&mut self, name: &'static str) -> u64 {
-        let there = self.there(name);
-        let time = self.time_if(name);
-        self.needed(name, time, there)
+    pub fn required_time(&mut self, name: &'static str) -> u64 {
+        let is_set = self.is_set(name);
+        let time = self.optional_time(name);
+        self.required(name, time, is_set)
     }
 
-    /// A size in bytes; a bare number is a fault.
-    pub fn size(&mut self, name: &'static str, absent: usize) -> usize {
-        let size = |raw: &Raw| if let Raw::Size(bytes) = raw { Some(*bytes as usize) } else { None };
-        self.read(name, "a size such as kb(64) or mb(4)", size).map_or(absent, |(bytes, _)| bytes)
+    /// A size in bytes; a number without a unit is an error.
+    pub fn size(&mut self, name: &'static str, default: usize) -> usize {
+        let size =
+            |raw: &RawValue| if let RawValue::Size(bytes) = raw { Some(*bytes as usize) } else { None };
+        self.read(name, "a size such as kb(64) or mb(4)", size).map_or(default, |(bytes, _)| bytes)
     }
 
-    /// A whole number within a range.
-    pub fn count(&mut self, name: &'static str, absent: usize, range: (usize, usize)) -> usize {
-        self.optional_count(name, range).unwrap_or(absent)
+    /// An integer within a range.
+    pub fn count(&mut self, name: &'static str, default: usize, range: (usize, usize)) -> usize {
+        self.optional_count(name, range).unwrap_or(default)
     }
 
-    /// A whole number within a range, or nothing.
-    pub fn optional_count(&mut self, name: &'static str, (least, most): (usize, usize)) -> Option<usize> {
-        let count = |raw: &Raw| match raw {
-            Raw::Int(n) => usize::try_from(*n).ok().filter(|n| (least..=most).contains(n)),
+    /// An integer within a range, or `None` if it is not set.
+    pub fn optional_count(&mut self, name: &'static str, (min, max): (usize, usize)) -> Option<usize> {
+        let count = |raw: &RawValue| match raw {
+            RawValue::Int(n) => usize::try_from(*n).ok().filter(|n| (min..=max).contains(n)),
             _ => None,
         };
-        let wanted = format!("a whole number from {least} to {most}");
-        self.read(name, &wanted, count).map(|(n, _)| n)
+        let expected = format!("a whole number from {min} to {max}");
+        self.read(name, &expected, count).map(|(n, _)| n)
     }
 
     /// A number within a range.
-    pub fn number(&mut self, name: &'static str, absent: f64, (least, most): (f64, f64)) -> f64 {
-        let number = |raw: &Raw| match raw {
-            Raw::Int(n) => Some(*n as f64),
-            Raw::Float(x) => Some(*x),
+    pub fn number(&mut self, name: &'static str, default: f64, (min, max): (f64, f64)) -> f64 {
+        let number = |raw: &RawValue| match raw {
+            RawValue::Int(n) => Some(*n as f64),
+            RawValue::Float(x) => Some(*x),
             _ => None,
         };
-        let number = |raw: &Raw| number(raw).filter(|n| (least..=most).contains(n));
-        let wanted = format!("a number from {least} to {most}");
-        self.read(name, &wanted, number).map_or(absent, |(n, _)| n)
+        let number = |raw: &RawValue| number(raw).filter(|n| (min..=max).contains(n));
+        let expected = format!("a number from {min} to {max}");
+        self.read(name, &expected, number).map_or(default, |(n, _)| n)
     }
 
     /// A quantity of a scale scenario, within its range.
     pub fn quantity(&mut self, quantity: Quantity) -> Option<f64> {
-        let Quantity { name, least, most, is_whole } = quantity;
-        let number = |raw: &Raw| match raw {
-            Raw::Int(n) => Some(*n as f64),
-            Raw::Float(x) if !is_whole => Some(*x),
+        let Quantity { name, min, max, is_integer } = quantity;
+        let number = |raw: &RawValue| match raw {
+            RawValue::Int(n) => Some(*n as f64),
+            RawValue::Float(x) if !is_integer => Some(*x),
             _ => None,
         };
-        let number = |raw: &Raw| number(raw).filter(|n| (least..=most).contains(n));
-        let kind = if is_whole { "a whole number" } else { "a number" };
-        self.read(name, &format!("{kind} from {least} to {most}"), number).map(|(n, _)| n)
+        let number = |raw: &RawValue| number(raw).filter(|n| (min..=max).contains(n));
+        let kind = if is_integer { "a whole number" } else { "a number" };
+        self.read(name, &format!("{kind} from {min} to {max}"), number).map(|(n, _)| n)
     }
 
     pub fn address(&mut self, name: &'static str) -> Option<SocketAddr> {
-        let address = |raw: &Raw| if let Raw::Text(text) = raw { text.parse().ok() } else { None };
-        self.read(name, "an address such as \"127.0.0.1:7100\"", address).map(|(at, _)| at)
+        let address = |raw: &RawValue| if let RawValue::Text(text) = raw { text.parse().ok() } else { None };
+        self.read(name, "an address such as \"127.0.0.1:7100\"", address).map(|(address, _)| address)
     }
 
-    pub fn needed_address(&mut self, name: &'static str) -> SocketAddr {
-        let there = self.there(name);
-        let at = self.address(name);
-        self.needed(name, at.map(Some), there).unwrap_or(SocketAddr::from(([127, 0, 0, 1], 0)))
+    pub fn required_address(&mut self, name: &'static str) -> SocketAddr {
+        let is_set = self.is_set(name);
+        let address = self.address(name);
+        self.required(name, address.map(Some), is_set).unwrap_or(SocketAddr::from(([127, 0, 0, 1], 0)))
     }
 
     pub fn addresses(&mut self, name: &'static str) -> Vec<SocketAddr> {
-        let address = |raw: &Raw| if let Raw::Text(text) = raw { text.parse().ok() } else { None };
-        let all = |raw: &Raw| match raw {
-            Raw::List(items) => items.iter().map(address).collect::<Option<Vec<_>>>(),
+        let address = |raw: &RawValue| if let RawValue::Text(text) = raw { text.parse().ok() } else { None };
+        let addresses = |raw: &RawValue| match raw {
+            RawValue::List(items) => items.iter().map(address).collect::<Option<Vec<_>>>(),
             _ => None,
         };
-        self.read(name, "a list of addresses such as [\"127.0.0.1:7000\"]", all)
+        self.read(name, "a list of addresses such as [\"127.0.0.1:7000\"]", addresses)
             .map_or(Vec::new(), |(v, _)| v)
     }
 
     /// Sizes by name, in MB.
-    pub fn memories(&mut self, name: &'static str) -> Vec<(String, f64)> {
-        let memory = |(name, raw): &(String, Raw)| match raw {
-            Raw::Size(bytes) => Some((name.clone(), *bytes as f64 / 1_048_576.0)),
+    pub fn sizes_in_mb(&mut self, name: &'static str) -> Vec<(String, f64)> {
+        let size = |(name, raw): &(String, RawValue)| match raw {
+            RawValue::Size(bytes) => Some((name.clone(), *bytes as f64 / 1_048_576.0)),
             _ => None,
         };
-        let all = |raw: &Raw| match raw {
-            Raw::Dict(items) => items.iter().map(memory).collect::<Option<Vec<_>>>(),
+        let sizes = |raw: &RawValue| match raw {
+            RawValue::Dict(items) => items.iter().map(size).collect::<Option<Vec<_>>>(),
             _ => None,
         };
-        self.read(name, "a dict such as {\"std\": mb(16000)}", all).map_or(Vec::new(), |(v, _)| v)
+        self.read(name, "a dict such as {\"std\": mb(16000)}", sizes).map_or(Vec::new(), |(v, _)| v)
     }
 
-    pub fn any(&mut self, name: &'static str) -> Option<(Raw, Place)> {
+    pub fn raw_value(&mut self, name: &'static str) -> Option<(RawValue, Location)> {
         self.take(name)
     }
 
-    /// What is left is unknown.
-    pub fn end(self) {
-        for (key, value, place) in self.fields {
-            let near = self.known.iter().min_by_key(|known| distance(known, &key));
-            let near = near.filter(|known| distance(known, &key) <= 1 + key.len() / 3);
-            let hint = near.map_or(String::new(), |known| format!("; did you mean {known}?"));
-            let what = format!("{}: unknown name {key} = {value}{hint}", self.kind);
-            self.faults.push(Fault { place, what });
+    /// Reports all fields that were not read as unknown names.
+    pub fn finish(self) {
+        for (key, value, location) in self.fields {
+            let nearest = self.known.iter().min_by_key(|known| edit_distance(known, &key));
+            let nearest = nearest.filter(|known| edit_distance(known, &key) <= 1 + key.len() / 3);
+            let hint = nearest.map_or(String::new(), |known| format!("; did you mean {known}?"));
+            let message = format!("{}: unknown name {key} = {value}{hint}", self.kind);
+            self.errors.push(SettingsError { location, message });
         }
     }
 }
 
-/// Levenshtein's.
-fn distance(a: &str, b: &str) -> usize {
+/// Levenshtein distance.
+fn edit_distance(a: &str, b: &str) -> usize {
     let b: Vec<char> = b.chars().collect();
     let mut row: Vec<usize> = (0..=b.len()).collect();
     for (i, a) in a.chars().enumerate() {
--- a/crates/settings/src/gateway.rs
+++ b/crates/settings/src/gateway.rs
@@ -1,4 +1,4 @@
-//! Sections to a gateway's settings.
+//! Checks the sections of a gateway's settings.
 
 use std::path::Path;
 
@@ -7,77 +7,83 @@
 use cresswheel_gateway::{GatewaySettings, ShellLimits, VersionSettings};
 use cresswheel_protocol::{Listed, Standing};
 
-use crate::Fault;
+use crate::SettingsError;
 use crate::fields::Fields;
-use crate::raw::{Place, Raw, Section};
+use crate::raw::{Location, RawValue, Section};
 
-const S: u64 = 1_000_000;
-const MS: u64 = 1_000;
+/// One second, in microseconds.
+const SECOND: u64 = 1_000_000;
+/// One millisecond, in microseconds.
+const MILLISECOND: u64 = 1_000;
 
-pub fn check(path: &Path, sections: Vec<Section>) -> Result<GatewaySettings, Vec<Fault>> {
-    let mut faults = Vec::new();
-    let mut settings = absent();
-    let mut seen: Vec<(String, Place)> = Vec::new();
+/// Builds the settings.
+pub fn check(path: &Path, sections: Vec<Section>) -> Result<GatewaySettings, Vec<SettingsError>> {
+    let mut errors = Vec::new();
+    let mut settings = default_settings();
+    let mut seen: Vec<(String, Location)> = Vec::new();
     for section in sections {
-        let (kind, place) = (section.kind.clone(), section.place.clone());
-        let once = !matches!(kind.as_str(), "call_class" | "tenant" | "worker");
-        if let Some((_, first)) = seen.iter().find(|(other, _)| *other == kind).filter(|_| once) {
-            let what = format!("{kind}: a second one, the first stands at {first}");
-            faults.push(Fault { place: place.clone(), what });
+        let (kind, location) = (section.kind.clone(), section.location.clone());
+        let is_unique = !matches!(kind.as_str(), "call_class" | "tenant" | "worker");
+        if let Some((_, first)) = seen.iter().find(|(other, _)| *other == kind).filter(|_| is_unique) {
+            let message = format!("{kind}: a second one, the first is at {first}");
+            errors.push(SettingsError { location: location.clone(), message });
         }
         if crate::plan::SECTIONS.contains(&kind.as_str()) {
-            let what = format!("{kind}(...) belongs in a plan, not in a gateway's settings");
-            faults.push(Fault { place: place.clone(), what });
+            let message = format!("{kind}(...) belongs in a plan, not in a gateway's settings");
+            errors.push(SettingsError { location: location.clone(), message });
             continue;
         }
         if crate::scale::SECTIONS.contains(&kind.as_str()) {
-            let what = format!("{kind}(...) belongs in a scale scenario, not in a gateway's settings");
-            faults.push(Fault { place: place.clone(), what });
+            let message = format!("{kind}(...) belongs in a scale scenario, not in a gateway's settings");
+            errors.push(SettingsError { location: location.clone(), message });
             continue;
         }
-        seen.push((kind.clone(), place));
-        let mut fields = Fields::new(section, &mut faults);
+        seen.push((kind.clone(), location));
+        let mut fields = Fields::new(section, &mut errors);
         match kind.as_str() {
-            "gateway" => gateway(&mut fields, &mut settings),
-            "fleet" => fleet(&mut fields, &mut settings.engine.module),
-            "call_class" => class(&mut fields, &mut settings.engine.module),
-            "tenant" => tenant(&mut fields, &mut settings.engine.module),
-            "cold_start" => cold_start(&mut fields, &mut settings.engine.module),
-            "versions" => versions(&mut fields, &mut settings),
-            "ration" => ration(&mut fields, &mut settings.engine.module),
-            "worker" => worker(&mut fields, &mut settings.workers),
-            _ => limits(&mut fields, &mut settings),
+            "gateway" => read_gateway(&mut fields, &mut settings),
+            "fleet" => read_fleet(&mut fields, &mut settings.engine.module),
+            "call_class" => read_class(&mut fields, &mut settings.engine.module),
+            "tenant" => read_tenant(&mut fields, &mut settings.engine.module),
+            "cold_start" => read_cold_start(&mut fields, &mut settings.engine.module),
+            "versions" => read_versions(&mut fields, &mut settings),
+            "ration" => read_ration(&mut fields, &mut settings.engine.module),
+            "worker" => read_worker(&mut fields, &mut settings.workers),
+            _ => read_limits(&mut fields, &mut settings),
         }
-        fields.end();
+        fields.finish();
     }
-    let top = Place { file: path.display().to_string(), line: 1, column: 1 };
-    for needed in ["gateway", "call_class"] {
-        if !seen.iter().any(|(kind, _)| kind == needed) {
-            faults.push(Fault { place: top.clone(), what: format!("there is no {needed}(...)") });
+    let script_start = Location { file: path.display().to_string(), line: 1, column: 1 };
+    for required in ["gateway", "call_class"] {
+        if !seen.iter().any(|(kind, _)| kind == required) {
+            errors.push(SettingsError {
+                location: script_start.clone(),
+                message: format!("there is no {required}(...)"),
+            });
         }
     }
-    if faults.is_empty() {
-        whole(&settings, &seen, &top, &mut faults);
+    if errors.is_empty() {
+        check_across_sections(&settings, &seen, &script_start, &mut errors);
     }
-    if faults.is_empty() { Ok(settings) } else { Err(faults) }
+    if errors.is_empty() { Ok(settings) } else { Err(errors) }
 }
 
-/// What holds where nothing is said.
-fn absent() -> GatewaySettings {
+/// Defaults of all fields.
+fn default_settings() -> GatewaySettings {
     let module = Settings {
-        tick: MS,
-        keep_alive: 10 * S,
+        tick: MILLISECOND,
+        keep_alive: 10 * SECOND,
         most_instances: 1,
         when_absent: WhenAbsent::Miss,
         may_order: true,
         tells_crowd: true,
-        order_timeout: 10 * S,
+        order_timeout: 10 * SECOND,
         may_cancel: true,
         may_probe: true,
         max_attempts: 4,
-        connect_timeout: 250 * MS,
-        drain_grace: S,
-        ask_within: 10 * S,
+        connect_timeout: 250 * MILLISECOND,
+        drain_grace: SECOND,
+        ask_within: 10 * SECOND,
         ..Settings::default()
     };
     GatewaySettings {
@@ -86,9 +92,9 @@
             module,
             admission: AdmissionLimits::default(),
             results: ResultLimits::default(),
-            answer_margin: 10 * MS,
-            most_time: 600 * S,
-            deferred_time: 60 * S,
+            answer_margin: 10 * MILLISECOND,
+            most_time: 600 * SECOND,
+            deferred_time: 60 * SECOND,
         },
         listen: ([127, 0, 0, 1], 0).into(),
         http: None,
@@ -101,66 +107,72 @@
     }
 }
 
-fn gateway(f: &mut Fields, to: &mut GatewaySettings) {
-    to.name = f.needed_text("name");
-    to.listen = f.needed_address("listen");
-    to.http = f.address("http");
-    to.list = f.addresses("list");
-    to.state = f.text("state").map(Into::into);
-    to.holders = f.optional_count("holders", (0, 64));
-    let module = &mut to.engine.module;
-    module.zone = f.text("zone").unwrap_or_default();
-    module.tick = f.time("tick", module.tick);
-    to.engine.answer_margin = f.time("answer_margin", to.engine.answer_margin);
-    to.engine.most_time = f.time("most_time", to.engine.most_time);
-    to.engine.deferred_time = f.time("deferred_time", to.engine.deferred_time);
-    let (tick, margin) = (module.tick, to.engine.answer_margin);
-    f.must(tick > 0 && tick <= S, "tick must be above zero and at most s(1)");
-    f.must(margin >= 2 * tick, "answer_margin must be two ticks at least, or last answers come late");
-    f.must(to.engine.deferred_time <= to.engine.most_time, "deferred_time is longer than most_time");
-    f.must(to.name.len() <= 100, "name must have 100 bytes at most");
+fn read_gateway(fields: &mut Fields, settings: &mut GatewaySettings) {
+    settings.name = fields.required_text("name");
+    settings.listen = fields.required_address("listen");
+    settings.http = fields.address("http");
+    settings.list = fields.addresses("list");
+    settings.state = fields.text("state").map(Into::into);
+    settings.holders = fields.optional_count("holders", (0, 64));
+    let module = &mut settings.engine.module;
+    module.zone = fields.text("zone").unwrap_or_default();
+    module.tick = fields.time("tick", module.tick);
+    settings.engine.answer_margin = fields.time("answer_margin", settings.engine.answer_margin);
+    settings.engine.most_time = fields.time("most_time", settings.engine.most_time);
+    settings.engine.deferred_time = fields.time("deferred_time", settings.engine.deferred_time);
+    let (tick, margin) = (module.tick, settings.engine.answer_margin);
+    fields.require(tick > 0 && tick <= SECOND, "tick must be above zero and at most s(1)");
+    fields.require(margin >= 2 * tick, "answer_margin must be two ticks at least, or final answers are late");
+    fields.require(
+        settings.engine.deferred_time <= settings.engine.most_time,
+        "deferred_time is longer than most_time",
+    );
+    fields.require(settings.name.len() <= 100, "name must have 100 bytes at most");
 }
 
-fn fleet(f: &mut Fields, to: &mut Settings) {
-    to.gateways = f.count("gateways", 1, (1, 1_000_000)) as u32;
-    to.keep_alive = f.time("keep_alive", to.keep_alive);
-    let words = [("load", WhenAbsent::Load), ("miss", WhenAbsent::Miss)];
-    to.when_absent = f.word("when_absent", &words).unwrap_or(to.when_absent);
-    to.may_order = f.flag("may_order", to.may_order);
-    to.may_cancel = f.flag("may_cancel", to.may_cancel);
-    to.may_probe = f.flag("may_probe", to.may_probe);
-    to.may_duplicate = f.flag("may_duplicate", to.may_duplicate);
-    to.tells_crowd = f.flag("tells_crowd", to.tells_crowd);
-    to.must_follow = f.flag("must_follow", to.must_follow);
-    to.ask_within = f.time("ask_within", to.ask_within);
-    to.most_instances = f.count("most_instances", to.most_instances, (1, 1_000));
-    to.order_timeout = f.time("order_timeout", to.order_timeout);
-    to.connect_timeout = f.time("connect_timeout", to.connect_timeout);
-    to.drain_grace = f.time("drain_grace", to.drain_grace);
-    to.max_attempts = f.count("max_attempts", to.max_attempts, (1, 100));
-    to.retry_after = f.flag("retry_after", to.retry_after);
-    to.max_retry_after = f.time("max_retry_after", to.max_retry_after);
-    to.over_quota_worth = f.number("over_quota_worth", to.over_quota_worth, (0.0, 1.0));
-    to.kind_memory_mb = f.memories("kind_memory").into_iter().collect();
-    let loads = to.when_absent == WhenAbsent::Load || to.may_order;
-    f.must(loads, "when_absent = \"miss\" with may_order = False: nothing would ever be loaded");
-    f.must(to.keep_alive > 0, "keep_alive must be above zero");
-    f.must(to.connect_timeout > 0, "connect_timeout must be above zero");
-    f.must(to.order_timeout > 0, "order_timeout must be above zero");
+fn read_fleet(fields: &mut Fields, settings: &mut Settings) {
+    settings.gateways = fields.count("gateways", 1, (1, 1_000_000)) as u32;
+    settings.keep_alive = fields.time("keep_alive", settings.keep_alive);
+    let keywords = [("load", WhenAbsent::Load), ("miss", WhenAbsent::Miss)];
+    settings.when_absent = fields.keyword("when_absent", &keywords).unwrap_or(settings.when_absent);
+    settings.may_order = fields.flag("may_order", settings.may_order);
+    settings.may_cancel = fields.flag("may_cancel", settings.may_cancel);
+    settings.may_probe = fields.flag("may_probe", settings.may_probe);
+    settings.may_duplicate = fields.flag("may_duplicate", settings.may_duplicate);
+    settings.tells_crowd = fields.flag("tells_crowd", settings.tells_crowd);
+    settings.must_follow = fields.flag("must_follow", settings.must_follow);
+    settings.ask_within = fields.time("ask_within", settings.ask_within);
+    settings.most_instances = fields.count("most_instances", settings.most_instances, (1, 1_000));
+    settings.order_timeout = fields.time("order_timeout", settings.order_timeout);
+    settings.connect_timeout = fields.time("connect_timeout", settings.connect_timeout);
+    settings.drain_grace = fields.time("drain_grace", settings.drain_grace);
+    settings.max_attempts = fields.count("max_attempts", settings.max_attempts, (1, 100));
+    settings.retry_after = fields.flag("retry_after", settings.retry_after);
+    settings.max_retry_after = fields.time("max_retry_after", settings.max_retry_after);
+    settings.over_quota_worth = fields.number("over_quota_worth", settings.over_quota_worth, (0.0, 1.0));
+    settings.kind_memory_mb = fields.sizes_in_mb("kind_memory").into_iter().collect();
+    let can_load = settings.when_absent == WhenAbsent::Load || settings.may_order;
+    fields.require(can_load, "when_absent = \"miss\" with may_order = False: nothing would ever be loaded");
+    fields.require(settings.keep_alive > 0, "keep_alive must be above zero");
+    fields.require(settings.connect_timeout > 0, "connect_timeout must be above zero");
+    fields.require(settings.order_timeout > 0, "order_timeout must be above zero");
 }
 
-fn class(f: &mut Fields, to: &mut Settings) {
-    let name = f.needed_text("name");
-    let (aim, give_up) = (f.needed_time("aim"), f.needed_time("give_up"));
-    let effect = match f.any("effect") {
+fn read_class(fields: &mut Fields, settings: &mut Settings) {
+    let name = fields.required_text("name");
+    let (aim, give_up) = (fields.required_time("aim"), fields.required_time("give_up"));
+    let effect = match fields.raw_value("effect") {
         None => {
-            f.must(false, "effect is missing: \"safe\", \"unsafe\" or keyed(group = ..., memory = ...)");
+            fields.require(
+                false,
+                "effect is missing: \"safe\", \"unsafe\" or keyed(group = ..., memory = ...)",
+            );
             Effect::Unsafe
         }
-        Some((value, place)) => match &value {
-            Raw::Text(word) if word == "safe" => Effect::Safe,
-            Raw::Text(word) if word == "unsafe" => Effect::Unsafe,
-            Raw::Keyed(group, memory) if *memory > 0 => {
+        Some((value, location)) => match &value {
+            RawValue::Text(keyword) if keyword == "safe" => Effect::Safe,
+            RawValue::Text(keyword) if keyword == "unsafe" => Effect::Unsafe,
+            RawValue::Keyed(group, memory) if *memory > 0 => {
                 let group = match group.as_str() {
                     "all" => Some(Group::All),
                     "zone" => Some(Group::Zone),
@@ -168,180 +180,203 @@
                     _ => None,
                 };
                 if group.is_none() {
-                    let wanted = "a group of \"all\", \"zone\" or \"cell\" is wanted";
-                    f.fault(place, format!("effect = {value}: {wanted}"));
+                    let expected = "a group of \"all\", \"zone\" or \"cell\" is wanted";
+                    fields.add_error(location, format!("effect = {value}: {expected}"));
                 }
                 Effect::Keyed { group: group.unwrap_or(Group::Cell), memory: *memory }
             }
             _ => {
-                let wanted = "\"safe\", \"unsafe\" or keyed(group = ..., memory = s(5)) is wanted";
-                f.fault(place, format!("effect = {value}: {wanted}"));
+                let expected = "\"safe\", \"unsafe\" or keyed(group = ..., memory = s(5)) is wanted";
+                fields.add_error(location, format!("effect = {value}: {expected}"));
                 Effect::Unsafe
             }
         },
     };
     let streamed = false;
-    let worth = f.number("worth", 1.0, (0.0, 1e9));
-    let late_worth = f.number("late_worth", 0.0, (0.0, 1.0));
-    f.must(aim <= give_up, "aim is longer than give_up");
-    f.must(aim > 0, "aim must be above zero");
-    let twice = to.classes.iter().any(|class| class.name == name);
-    f.must(!twice, &format!("a second class of the name {name:?}"));
-    to.classes.push(Class { name, aim, give_up, effect, streamed, worth, late_worth });
+    let worth = fields.number("worth", 1.0, (0.0, 1e9));
+    let late_worth = fields.number("late_worth", 0.0, (0.0, 1.0));
+    fields.require(aim <= give_up, "aim is longer than give_up");
+    fields.require(aim > 0, "aim must be above zero");
+    let is_duplicate = settings.classes.iter().any(|class| class.name == name);
+    fields.require(!is_duplicate, &format!("a second class with the name {name:?}"));
+    settings.classes.push(Class { name, aim, give_up, effect, streamed, worth, late_worth });
 }
 
-fn tenant(f: &mut Fields, to: &mut Settings) {
-    let name = f.needed_text("name");
-    let quota_per_s = f.number("quota_per_s", f64::INFINITY, (0.0, f64::INFINITY));
-    let twice = to.tenants.iter().any(|tenant| tenant.name == name);
-    f.must(!twice, &format!("a second tenant of the name {name:?}"));
-    to.tenants.push(Tenant { name, quota_per_s });
+fn read_tenant(fields: &mut Fields, settings: &mut Settings) {
+    let name = fields.required_text("name");
+    let quota_per_s = fields.number("quota_per_s", f64::INFINITY, (0.0, f64::INFINITY));
+    let is_duplicate = settings.tenants.iter().any(|tenant| tenant.name == name);
+    fields.require(!is_duplicate, &format!("a second tenant with the name {name:?}"));
+    settings.tenants.push(Tenant { name, quota_per_s });
 }
 
-fn cold_start(f: &mut Fields, to: &mut Settings) {
-    let cold = &to.cold;
-    to.cold = ColdStart {
-        from: f.number("from_share", cold.from, (0.001, 1.0)),
-        warm_up: f.time("warm_up", cold.warm_up),
-        multiple: f.number("multiple", cold.multiple, (0.001, 1e6)),
-        window: f.time("window", cold.window),
+fn read_cold_start(fields: &mut Fields, settings: &mut Settings) {
+    let cold = &settings.cold;
+    settings.cold = ColdStart {
+        from: fields.number("from_share", cold.from, (0.001, 1.0)),
+        warm_up: fields.time("warm_up", cold.warm_up),
+        multiple: fields.number("multiple", cold.multiple, (0.001, 1e6)),
+        window: fields.time("window", cold.window),
     };
 }
 
-fn ration(f: &mut Fields, to: &mut Settings) {
+fn read_ration(fields: &mut Fields, settings: &mut Settings) {
     let ration = OrderRation {
-        window: f.needed_time("window"),
-        free: f.number("free", 0.0, (0.0, 1e9)),
-        per_request: f.number("per_call", 0.0, (0.0, 1e9)),
+        window: fields.required_time("window"),
+        free: fields.number("free", 0.0, (0.0, 1e9)),
+        per_request: fields.number("per_call", 0.0, (0.0, 1e9)),
     };
-    f.must(ration.window > 0, "window must be above zero");
-    to.ration = Some(ration);
+    fields.require(ration.window > 0, "window must be above zero");
+    settings.ration = Some(ration);
 }
 
-/// Shortest order key, in bytes.
-const LEAST_KEY: usize = 16;
+/// Minimum length of the key that authorizes version orders, in bytes.
+const MIN_KEY_BYTES: usize = 16;
 
-fn versions(f: &mut Fields, to: &mut GatewaySettings) {
-    let file = f.text("key_file");
-    let open = f.flag("open", false);
-    f.must(
+fn read_versions(fields: &mut Fields, settings: &mut GatewaySettings) {
+    let file = fields.text("key_file");
+    let open = fields.flag("open", false);
+    fields.require(
         file.is_some() != open,
-        "key_file = \"...\" is wanted, or open = True: whoever reaches it may order",
+        "key_file = \"...\" is wanted, or open = True, which lets any client give version orders",
     );
     let mut key = String::new();
     if let Some(file) = file {
         match std::fs::read_to_string(&file) {
             Ok(text) => {
                 key = text.trim().to_owned();
-                let long = (LEAST_KEY..=cresswheel_protocol::MAX_NAME).contains(&key.len());
-                f.must(long, &format!("key_file = {file:?}: a key has from {LEAST_KEY} to 512 bytes"));
+                let is_valid_length = (MIN_KEY_BYTES..=cresswheel_protocol::MAX_NAME).contains(&key.len());
+                fields.require(
+                    is_valid_length,
+                    &format!("key_file = {file:?}: a key has from {MIN_KEY_BYTES} to 512 bytes"),
+                );
             }
-            Err(error) => f.must(false, &format!("key_file = {file:?}: {error}")),
+            Err(error) => fields.require(false, &format!("key_file = {file:?}: {error}")),
         }
     }
-    to.versions = Some(VersionSettings { key });
+    settings.versions = Some(VersionSettings { key });
 }
 
-fn worker(f: &mut Fields, to: &mut Vec<Listed>) {
-    let address = f.needed_address("address").to_string();
-    let id = f.text("id").unwrap_or_else(|| address.clone());
-    let twice = to.iter().any(|worker| worker.id == id);
-    f.must(!twice, &format!("a second worker of the id {id:?}"));
-    to.push(Listed {
+fn read_worker(fields: &mut Fields, workers: &mut Vec<Listed>) {
+    let address = fields.required_address("address").to_string();
+    let id = fields.text("id").unwrap_or_else(|| address.clone());
+    let is_duplicate = workers.iter().any(|worker| worker.id == id);
+    fields.require(!is_duplicate, &format!("a second worker with the id {id:?}"));
+    workers.push(Listed {
         id,
         address,
-        zone: f.text("zone").unwrap_or_default(),
-        kind: f.text("kind").unwrap_or_default(),
-        cell: f.count("cell", 0, (0, usize::MAX >> 1)) as u64,
+        zone: fields.text("zone").unwrap_or_default(),
+        kind: fields.text("kind").unwrap_or_default(),
+        cell: fields.count("cell", 0, (0, usize::MAX >> 1)) as u64,
         standing: Standing::In,
         started: 0,
     });
 }
 
-fn limits(f: &mut Fields, to: &mut GatewaySettings) {
-    const MOST: usize = 1 << 40;
-    let admission = &mut to.engine.admission;
-    admission.open_calls = f.count("open_calls", admission.open_calls, (1, MOST));
-    admission.open_bytes = f.size("open_bytes", admission.open_bytes);
-    admission.per_connection = f.count("calls_per_connection", admission.per_connection, (1, MOST));
-    admission.functions = f.count("functions", admission.functions, (1, MOST));
+fn read_limits(fields: &mut Fields, settings: &mut GatewaySettings) {
+    const MAX_COUNT: usize = 1 << 40;
+    let admission = &mut settings.engine.admission;
+    admission.open_calls = fields.count("open_calls", admission.open_calls, (1, MAX_COUNT));
+    admission.open_bytes = fields.size("open_bytes", admission.open_bytes);
+    admission.per_connection = fields.count("calls_per_connection", admission.per_connection, (1, MAX_COUNT));
+    admission.functions = fields.count("functions", admission.functions, (1, MAX_COUNT));
     let per_connection = admission.per_connection;
-    let results = &mut to.engine.results;
-    results.keep = f.time("results_keep", results.keep);
-    results.bytes = f.size("results_bytes", results.bytes);
-    let shell = &mut to.shell;
-    shell.stop_within = f.time("stop_within", shell.stop_within);
+    let results = &mut settings.engine.results;
+    results.keep = fields.time("results_keep", results.keep);
+    results.bytes = fields.size("results_bytes", results.bytes);
+    let shell = &mut settings.shell;
+    shell.stop_within = fields.time("stop_within", shell.stop_within);
     let clients = &mut shell.clients;
-    clients.frame = f.size("frame", clients.frame);
-    f.must((1_024..=1 << 30).contains(&clients.frame), "frame must be from kb(1) to mb(1024)");
-    clients.http_head = f.size("http_head", clients.http_head);
-    clients.http_headers = f.count("http_headers", clients.http_headers, (1, 10_000));
-    clients.http_body = f.size("http_body", clients.http_body);
-    clients.out = f.size("out_buffer", clients.out);
-    clients.backlog = f.size("client_backlog", clients.backlog);
-    f.must(clients.backlog < clients.out, "client_backlog must be below out_buffer");
+    clients.frame = fields.size("frame", clients.frame);
+    fields.require((1_024..=1 << 30).contains(&clients.frame), "frame must be from kb(1) to mb(1024)");
+    clients.http_head = fields.size("http_head", clients.http_head);
+    clients.http_headers = fields.count("http_headers", clients.http_headers, (1, 10_000));
+    clients.http_body = fields.size("http_body", clients.http_body);
+    clients.out = fields.size("out_buffer", clients.out);
+    clients.backlog = fields.size("client_backlog", clients.backlog);
+    fields.require(clients.backlog < clients.out, "client_backlog must be below out_buffer");
     clients.per_connection = per_connection;
-    let door = &mut clients.door;
-    // A connection's name has 20 bits for its place.
-    door.connections = f.count("connections", door.connections, (1, 1 << 26));
-    door.accepts_per_s = f.count("accepts_per_s", door.accepts_per_s as usize, (1, 1_000_000)) as u64;
-    door.evict_after = f.time("evict_after", door.evict_after);
-    door.idle = f.time("client_idle", door.idle);
-    door.half = f.time("half_request", door.half);
-    door.half_bytes = f.size("half_bytes", door.half_bytes);
-    door.stall = f.time("read_stall", door.stall);
-    door.ping_after = f.time("ping_after", door.ping_after);
-    door.ping_wait = f.time("ping_wait", door.ping_wait);
-    door.pings_per_s = f.count("pings_per_s", door.pings_per_s as usize, (0, 1_000_000)) as u64;
-    door.leave_over = f.time("leave_over", door.leave_over.min(shell.stop_within / 2));
-    f.must(door.half > 0, "half_request must be above zero");
-    f.must(door.stall > 0, "read_stall must be above zero");
-    f.must(door.ping_wait > 0, "ping_wait must be above zero");
-    f.must(door.half_bytes >= clients.frame.min(clients.http_body), "half_bytes is below one message");
-    let leave_over = door.leave_over;
+    let connection_limits = &mut clients.door;
+    // A connection id has 20 bits for the slot; up to 64 acceptor processes make 2^26 connections.
+    connection_limits.connections = fields.count("connections", connection_limits.connections, (1, 1 << 26));
+    connection_limits.accepts_per_s =
+        fields.count("accepts_per_s", connection_limits.accepts_per_s as usize, (1, 1_000_000)) as u64;
+    connection_limits.evict_after = fields.time("evict_after", connection_limits.evict_after);
+    connection_limits.idle = fields.time("client_idle", connection_limits.idle);
+    connection_limits.half = fields.time("half_request", connection_limits.half);
+    connection_limits.half_bytes = fields.size("half_bytes", connection_limits.half_bytes);
+    connection_limits.stall = fields.time("read_stall", connection_limits.stall);
+    connection_limits.ping_after = fields.time("ping_after", connection_limits.ping_after);
+    connection_limits.ping_wait = fields.time("ping_wait", connection_limits.ping_wait);
+    connection_limits.pings_per_s =
+        fields.count("pings_per_s", connection_limits.pings_per_s as usize, (0, 1_000_000)) as u64;
+    connection_limits.leave_over =
+        fields.time("leave_over", connection_limits.leave_over.min(shell.stop_within / 2));
+    fields.require(connection_limits.half > 0, "half_request must be above zero");
+    fields.require(connection_limits.stall > 0, "read_stall must be above zero");
+    fields.require(connection_limits.ping_wait > 0, "ping_wait must be above zero");
+    fields.require(
+        connection_limits.half_bytes >= clients.frame.min(clients.http_body),
+        "half_bytes is below one message",
+    );
+    let leave_over = connection_limits.leave_over;
     let intake = &mut shell.intake;
-    intake.calls = f.count("intake_calls", intake.calls, (1, MOST));
-    intake.per_turn = f.count("calls_per_turn", intake.per_turn, (1, 100_000));
-    intake.share = f.number("intake_share", intake.share, (0.01, 1.0));
-    intake.hold = f.time("intake_hold", intake.hold);
-    intake.return_after = f.time("return_after", intake.return_after);
-    intake.most_return = f.time("most_return", intake.most_return);
-    f.must(intake.return_after <= intake.most_return, "return_after is longer than most_return");
-    shell.worker_connections = f.count("worker_connections", shell.worker_connections, (1, 1_000));
-    shell.worker_streams = f.count("worker_streams", shell.worker_streams, (1, 100_000));
-    shell.worker_idle = f.time("worker_idle", shell.worker_idle);
-    shell.list_retry = f.time("list_retry", shell.list_retry);
-    f.must(
+    intake.calls = fields.count("intake_calls", intake.calls, (1, MAX_COUNT));
+    intake.per_turn = fields.count("calls_per_turn", intake.per_turn, (1, 100_000));
+    intake.share = fields.number("intake_share", intake.share, (0.01, 1.0));
+    intake.hold = fields.time("intake_hold", intake.hold);
+    intake.return_after = fields.time("return_after", intake.return_after);
+    intake.most_return = fields.time("most_return", intake.most_return);
+    fields.require(intake.return_after <= intake.most_return, "return_after is longer than most_return");
+    shell.worker_connections = fields.count("worker_connections", shell.worker_connections, (1, 1_000));
+    shell.worker_streams = fields.count("worker_streams", shell.worker_streams, (1, 100_000));
+    shell.worker_idle = fields.time("worker_idle", shell.worker_idle);
+    shell.list_retry = fields.time("list_retry", shell.list_retry);
+    fields.require(
         leave_over < shell.stop_within || leave_over == 0,
-        "leave_over must be below stop_within, or some are never asked",
+        "leave_over must be below stop_within, or some clients are never asked to leave",
     );
 }
 
-/// What no section can see alone.
-fn whole(settings: &GatewaySettings, seen: &[(String, Place)], top: &Place, faults: &mut Vec<Fault>) {
-    let at =
-        |kind: &str| seen.iter().find(|(k, _)| k == kind).map_or(top.clone(), |(_, place)| place.clone());
-    let mut fault = |kind: &str, what: String| faults.push(Fault { place: at(kind), what });
+/// Checks that involve several sections.
+fn check_across_sections(
+    settings: &GatewaySettings,
+    seen: &[(String, Location)],
+    script_start: &Location,
+    errors: &mut Vec<SettingsError>,
+) {
+    let location_of = |kind: &str| {
+        seen.iter().find(|(k, _)| k == kind).map_or(script_start.clone(), |(_, location)| location.clone())
+    };
+    let mut report =
+        |kind: &str, message: String| errors.push(SettingsError { location: location_of(kind), message });
     let engine = &settings.engine;
     let shortest = engine.module.classes.iter().map(|class| class.aim).min().unwrap_or(u64::MAX);
     if engine.answer_margin * 2 > shortest {
-        let shortest = Raw::Time(shortest);
-        let margin = Raw::Time(engine.answer_margin);
-        fault("gateway", format!("answer_margin = {margin} takes over half of the shortest aim, {shortest}"));
+        let shortest = RawValue::Time(shortest);
+        let margin = RawValue::Time(engine.answer_margin);
+        report(
+            "gateway",
+            format!("answer_margin = {margin} takes over half of the shortest aim, {shortest}"),
+        );
     }
     for class in &engine.module.classes {
         if class.give_up > engine.most_time {
-            let (name, give_up, most) = (&class.name, Raw::Time(class.give_up), Raw::Time(engine.most_time));
-            fault("call_class", format!("{name:?}: give_up = {give_up} is longer than most_time, {most}"));
+            let (name, give_up, most) =
+                (&class.name, RawValue::Time(class.give_up), RawValue::Time(engine.most_time));
+            report("call_class", format!("{name:?}: give_up = {give_up} is longer than most_time, {most}"));
         }
     }
     if settings.versions.is_some() && settings.state.is_none() {
-        fault("versions", "orders are written down: state = \"...\" is wanted in gateway(...)".into());
+        report(
+            "versions",
+            "version orders are stored on disk: state = \"...\" is wanted in gateway(...)".into(),
+        );
     }
     if settings.list.is_empty() && settings.workers.is_empty() {
-        fault("gateway", "neither a list nor a worker(...): there is nothing to send calls to".into());
+        report("gateway", "neither a list nor a worker(...): there is nothing to send calls to".into());
     }
     if let Err(error) = engine.module.check() {
-        fault("gateway", error.to_string());
+        report("gateway", error.to_string());
     }
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,8 +1,9 @@
-//! A gateway's settings from a Starlark script. `docs/SETTINGS.md` has every name.
+//! Reads a gateway's settings, rollout plans and scale scenarios from Starlark scripts. `docs/SETTINGS.md`
+//! has every name.
 //!
-//! Two steps: `script` runs the script, which does nothing but put down sections with their places; `gateway`
-//! checks them all and gives either typed settings or every fault found, each with file, line, column and value.
-//! No other crate depends on Starlark.
+//! Reading takes two steps. `script` runs the script, which only records sections and their source locations.
+//! Then `gateway`, `plan` or `scale` checks all sections and returns either typed settings or all errors
+//! found, each with file, line, column and value. No other crate depends on Starlark.
 
 mod fields;
 mod gateway;
@@ -16,43 +17,44 @@
 use cresswheel_gateway::GatewaySettings;
 use cresswheel_versions::Plan;
 
-pub use raw::Place;
+pub use raw::Location;
 pub use scale::{QUANTITIES, Quantity, ScaleScenario};
 
-/// Something wrong with the settings.
+/// An error in the settings.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{place}: {what}")]
-pub struct Fault {
-    /// Where it stands.
-    pub place: Place,
-    /// What is wrong, with the value.
-    pub what: String,
+#[error("{location}: {message}")]
+pub struct SettingsError {
+    /// Location of the wrong field or section.
+    pub location: Location,
+    /// What is wrong, including the value.
+    pub message: String,
 }
 
-/// All that is wrong with the settings, in the order of their places.
+/// All errors in the settings, ordered by location.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{}", .0.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))]
-pub struct Faults(pub Vec<Fault>);
+pub struct SettingsErrors(pub Vec<SettingsError>);
 
-/// Reads a plan for a shift between versions; its choices are keyed with `salt`.
-pub fn read_plan(path: &Path, salt: [u64; 2]) -> Result<Plan, Faults> {
-    let sections = script::run(path).map_err(|fault| Faults(vec![fault]))?;
-    plan::check(path, sections, salt).map_err(in_order)
+/// Reads the plan of a rollout from one version to another. `salt` keys the hash that assigns calls to
+/// versions.
+pub fn read_plan(path: &Path, salt: [u64; 2]) -> Result<Plan, SettingsErrors> {
+    let sections = script::run(path).map_err(|error| SettingsErrors(vec![error]))?;
+    plan::check(path, sections, salt).map_err(sorted)
 }
 
-fn in_order(mut faults: Vec<Fault>) -> Faults {
-    faults.sort_by(|a, b| a.place.cmp(&b.place));
-    Faults(faults)
+fn sorted(mut errors: Vec<SettingsError>) -> SettingsErrors {
+    errors.sort_by(|a, b| a.location.cmp(&b.location));
+    SettingsErrors(errors)
 }
 
 /// Reads a gateway's settings.
-pub fn read(path: &Path) -> Result<GatewaySettings, Faults> {
-    let sections = script::run(path).map_err(|fault| Faults(vec![fault]))?;
-    gateway::check(path, sections).map_err(in_order)
+pub fn read(path: &Path) -> Result<GatewaySettings, SettingsErrors> {
+    let sections = script::run(path).map_err(|error| SettingsErrors(vec![error]))?;
+    gateway::check(path, sections).map_err(sorted)
 }
 
-/// Reads a scenario for a scale run.
-pub fn read_scale(path: &Path) -> Result<ScaleScenario, Faults> {
-    let sections = script::run(path).map_err(|fault| Faults(vec![fault]))?;
-    scale::check(path, sections).map_err(in_order)
+/// Reads the scenario of a scale run.
+pub fn read_scale(path: &Path) -> Result<ScaleScenario, SettingsErrors> {
+    let sections = script::run(path).map_err(|error| SettingsErrors(vec![error]))?;
+    scale::check(path, sections).map_err(sorted)
 }
--- a/crates/settings/src/plan.rs
+++ b/crates/settings/src/plan.rs
@@ -1,22 +1,23 @@
-//! Sections to a plan for shifting a function from one version to another.
+//! Checks the sections of a rollout plan, which moves a function from one version to another.
 
 use std::path::Path;
 
 use cresswheel_versions::{Compare, Guard, Plan, Share, Step, Stick};
 
-use crate::Fault;
+use crate::SettingsError;
 use crate::fields::Fields;
-use crate::raw::{Place, Raw, Section};
+use crate::raw::{Location, RawValue, Section};
 
-const S: u64 = 1_000_000;
+/// One second, in microseconds.
+const SECOND: u64 = 1_000_000;
 
-/// The sections that make a plan.
+/// Kinds of sections in a plan; each must occur.
 pub const SECTIONS: [&str; 3] = ["shift", "step", "guard"];
 
-/// The plan, its hash keyed with `salt`.
-pub fn check(path: &Path, sections: Vec<Section>, salt: [u64; 2]) -> Result<Plan, Vec<Fault>> {
-    let mut faults = Vec::new();
-    let mut seen: Vec<(String, Place)> = Vec::new();
+/// Builds the plan. `salt` keys the hash that assigns calls to versions.
+pub fn check(path: &Path, sections: Vec<Section>, salt: [u64; 2]) -> Result<Plan, Vec<SettingsError>> {
+    let mut errors = Vec::new();
+    let mut seen: Vec<(String, Location)> = Vec::new();
     let guard =
         Guard { classes: Vec::new(), false_alarm: 0.01, worse: 1.5, least: 100, settle: 0, compare: None };
     let mut plan = Plan {
@@ -29,98 +30,110 @@
         salt,
         steps: Vec::new(),
         guard,
-        lease: 60 * S,
-        preload: 5 * S,
-        keep_old: 600 * S,
+        lease: 60 * SECOND,
+        preload: 5 * SECOND,
+        keep_old: 600 * SECOND,
     };
     for section in sections {
-        let (kind, place) = (section.kind.clone(), section.place.clone());
+        let (kind, location) = (section.kind.clone(), section.location.clone());
         if let Some((_, first)) = seen.iter().find(|(other, _)| *other == kind && kind != "step") {
-            let what = format!("{kind}: a second one, the first stands at {first}");
-            faults.push(Fault { place: place.clone(), what });
+            let message = format!("{kind}: a second one, the first is at {first}");
+            errors.push(SettingsError { location: location.clone(), message });
         }
         if !SECTIONS.contains(&kind.as_str()) {
-            let what = format!("{kind}(...) belongs in a gateway's settings, not in a plan");
-            faults.push(Fault { place: place.clone(), what });
+            let message = format!("{kind}(...) belongs in a gateway's settings, not in a plan");
+            errors.push(SettingsError { location: location.clone(), message });
             continue;
         }
-        seen.push((kind.clone(), place));
-        let mut fields = Fields::new(section, &mut faults);
+        seen.push((kind.clone(), location));
+        let mut fields = Fields::new(section, &mut errors);
         match kind.as_str() {
-            "shift" => shift(&mut fields, &mut plan),
-            "step" => plan.steps.extend(step(&mut fields)),
-            _ => self::guard(&mut fields, &mut plan.guard),
+            "shift" => read_shift(&mut fields, &mut plan),
+            "step" => plan.steps.extend(read_step(&mut fields)),
+            _ => read_guard(&mut fields, &mut plan.guard),
         }
-        fields.end();
+        fields.finish();
     }
-    let top = Place { file: path.display().to_string(), line: 1, column: 1 };
-    for needed in SECTIONS {
-        if !seen.iter().any(|(kind, _)| kind == needed) {
-            faults.push(Fault { place: top.clone(), what: format!("there is no {needed}(...)") });
+    let script_start = Location { file: path.display().to_string(), line: 1, column: 1 };
+    for required in SECTIONS {
+        if !seen.iter().any(|(kind, _)| kind == required) {
+            errors.push(SettingsError {
+                location: script_start.clone(),
+                message: format!("there is no {required}(...)"),
+            });
         }
     }
-    if faults.is_empty() {
-        let steps: Vec<&Place> = seen.iter().filter(|(kind, _)| kind == "step").map(|(_, at)| at).collect();
-        // A fault of a step is told where the step stands.
-        let place = |what: &str| {
+    if errors.is_empty() {
+        let steps: Vec<&Location> =
+            seen.iter().filter(|(kind, _)| kind == "step").map(|(_, location)| location).collect();
+        // Errors of the form "steps[N]..." get the location of that step.
+        let location_of = |message: &str| {
             let number =
-                what.strip_prefix("steps[").and_then(|rest| rest.split(']').next()?.parse::<usize>().ok());
-            number.and_then(|number| steps.get(number)).map_or(top.clone(), |place| (*place).clone())
+                message.strip_prefix("steps[").and_then(|rest| rest.split(']').next()?.parse::<usize>().ok());
+            number
+                .and_then(|number| steps.get(number))
+                .map_or(script_start.clone(), |location| (*location).clone())
         };
-        faults.extend(plan.faults().into_iter().map(|what| Fault { place: place(&what), what }));
+        errors.extend(
+            plan.faults()
+                .into_iter()
+                .map(|message| SettingsError { location: location_of(&message), message }),
+        );
     }
-    if faults.is_empty() { Ok(plan) } else { Err(faults) }
+    if errors.is_empty() { Ok(plan) } else { Err(errors) }
 }
 
-fn shift(f: &mut Fields, to: &mut Plan) {
-    to.function = f.needed_text("function");
-    to.old = f.text("old").unwrap_or_default();
-    to.new = f.needed_text("new");
-    to.old_digest = f.text("old_digest").unwrap_or_default();
-    to.new_digest = f.text("new_digest").unwrap_or_default();
-    let words = [("call", Stick::Call), ("tenant", Stick::Tenant), ("account", Stick::Account)];
-    to.stick = f.word("stick", &words).unwrap_or(to.stick);
-    to.lease = f.time("lease", to.lease);
-    to.preload = f.time("preload", to.preload);
-    to.keep_old = f.time("keep_old", to.keep_old);
-    // Half a second is what a round of all gateways may take.
-    f.must(to.lease == 0 || to.lease >= 2 * S, "lease must be s(2) at least, or 0 s for none");
+fn read_shift(fields: &mut Fields, plan: &mut Plan) {
+    plan.function = fields.required_text("function");
+    plan.old = fields.text("old").unwrap_or_default();
+    plan.new = fields.required_text("new");
+    plan.old_digest = fields.text("old_digest").unwrap_or_default();
+    plan.new_digest = fields.text("new_digest").unwrap_or_default();
+    let keywords = [("call", Stick::Call), ("tenant", Stick::Tenant), ("account", Stick::Account)];
+    plan.stick = fields.keyword("stick", &keywords).unwrap_or(plan.stick);
+    plan.lease = fields.time("lease", plan.lease);
+    plan.preload = fields.time("preload", plan.preload);
+    plan.keep_old = fields.time("keep_old", plan.keep_old);
+    // Renewing the lease at all gateways takes up to half a second.
+    fields
+        .require(plan.lease == 0 || plan.lease >= 2 * SECOND, "lease must be s(2) at least, or 0 s for none");
 }
 
-fn share(f: &mut Fields, name: &'static str) -> Option<Share> {
-    let share = |raw: &Raw| match raw {
-        Raw::Share(share) => u16::try_from(*share).ok().and_then(Share::new),
+fn read_share(fields: &mut Fields, name: &'static str) -> Option<Share> {
+    let share = |raw: &RawValue| match raw {
+        RawValue::Share(share) => u16::try_from(*share).ok().and_then(Share::new),
         _ => None,
     };
-    f.read(name, "a share such as percent(1), at most percent(100),", share).map(|(share, _)| share)
+    fields.read(name, "a share such as percent(1), at most percent(100),", share).map(|(share, _)| share)
 }
 
-fn step(f: &mut Fields) -> Option<Step> {
-    let there = f.there("share");
-    let share = share(f, "share");
-    f.must(share.is_some() || there, "share is missing");
-    let hold = f.needed_time("hold");
+fn read_step(fields: &mut Fields) -> Option<Step> {
+    let is_set = fields.is_set("share");
+    let share = read_share(fields, "share");
+    fields.require(share.is_some() || is_set, "share is missing");
+    let hold = fields.required_time("hold");
     share.map(|share| Step { share, hold })
 }
 
-fn guard(f: &mut Fields, to: &mut Guard) {
-    let text = |raw: &Raw| if let Raw::Text(text) = raw { Some(text.clone()) } else { None };
-    let texts = |raw: &Raw| match raw {
-        Raw::List(items) => items.iter().map(text).collect::<Option<Vec<_>>>(),
+fn read_guard(fields: &mut Fields, guard: &mut Guard) {
+    let text = |raw: &RawValue| if let RawValue::Text(text) = raw { Some(text.clone()) } else { None };
+    let texts = |raw: &RawValue| match raw {
+        RawValue::List(items) => items.iter().map(text).collect::<Option<Vec<_>>>(),
         _ => None,
     };
-    let classes = f.read("classes", "a list of classes such as [\"charge-estimate\"]", texts);
-    to.classes = classes.map_or(Vec::new(), |(classes, _)| classes);
-    to.false_alarm = f.number("false_alarm", to.false_alarm, (1e-9, 0.5));
-    to.worse = f.number("worse", to.worse, (1.0, 100.0));
-    to.least = f.count("least", to.least as usize, (0, usize::MAX >> 1)) as u64;
-    to.settle = f.time("settle", to.settle);
-    let there = ["differ", "within"].into_iter().any(|name| f.there(name));
-    let share = share(f, "compare");
-    f.must(
-        share.is_some() || !there,
+    let classes = fields.read("classes", "a list of classes such as [\"charge-estimate\"]", texts);
+    guard.classes = classes.map_or(Vec::new(), |(classes, _)| classes);
+    guard.false_alarm = fields.number("false_alarm", guard.false_alarm, (1e-9, 0.5));
+    guard.worse = fields.number("worse", guard.worse, (1.0, 100.0));
+    guard.least = fields.count("least", guard.least as usize, (0, usize::MAX >> 1)) as u64;
+    guard.settle = fields.time("settle", guard.settle);
+    let is_set = ["differ", "within"].into_iter().any(|name| fields.is_set(name));
+    let share = read_share(fields, "compare");
+    fields.require(
+        share.is_some() || !is_set,
         "differ and within say how to compare; compare = percent(...) is missing",
     );
-    let (differ, within) = (f.number("differ", 0.01, (1e-6, 0.99)), f.number("within", 0.0, (0.0, 0.99)));
-    to.compare = share.map(|share| Compare { share, differ, within });
+    let (differ, within) =
+        (fields.number("differ", 0.01, (1e-6, 0.99)), fields.number("within", 0.0, (0.0, 0.99)));
+    guard.compare = share.map(|share| Compare { share, differ, within });
 }
--- a/crates/settings/src/raw.rs
+++ b/crates/settings/src/raw.rs
@@ -1,28 +1,29 @@
-//! What a script put down, before anything is checked.
+//! Sections that a script recorded, before any check.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// A place in a script.
+/// A location in a script.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Place {
-    /// The file, as it was named.
+pub struct Location {
+    /// Path of the file, as given.
     pub file: String,
-    /// From 1.
+    /// Counted from 1.
     pub line: usize,
-    /// From 1, in characters.
+    /// In characters, counted from 1.
     pub column: usize,
 }
 
-impl fmt::Display for Place {
+impl fmt::Display for Location {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}:{}:{}", self.file, self.line, self.column)
     }
 }
 
+/// A value of a field, as the script gave it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Raw {
+pub enum RawValue {
     None,
     Bool(bool),
     Int(i64),
@@ -32,17 +33,17 @@
     Time(u64),
     /// Bytes.
     Size(u64),
-    /// Ten-thousandths.
+    /// Ten-thousandths of all calls.
     Share(u64),
-    /// `keyed(...)`: the group, the memory in microseconds.
+    /// `keyed(...)`: the group and how long its workers remember a key, in microseconds.
     Keyed(String, u64),
-    List(Vec<Raw>),
-    Dict(Vec<(String, Raw)>),
-    /// Anything else, as Starlark shows it.
+    List(Vec<RawValue>),
+    Dict(Vec<(String, RawValue)>),
+    /// Any other value, as Starlark prints it.
     Other(String),
 }
 
-impl fmt::Display for Raw {
+impl fmt::Display for RawValue {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::None => f.write_str("None"),
@@ -64,10 +65,10 @@
     }
 }
 
-/// A call such as `call_class(...)`, with the place of each argument where it can be told.
+/// A call such as `call_class(...)`, with the location of each argument (of the call, where that is unknown).
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Section {
     pub kind: String,
-    pub place: Place,
-    pub fields: Vec<(String, Raw, Place)>,
+    pub location: Location,
+    pub fields: Vec<(String, RawValue, Location)>,
 }
--- a/crates/settings/src/scale.rs
+++ b/crates/settings/src/scale.rs
@@ -1,17 +1,17 @@
-//! Sections to the scenario of a scale run.
+//! Checks the sections of a scale run's scenario.
 
 use std::path::{Path, PathBuf};
 
 use cresswheel_protocol::{Micros, Shape};
 
-use crate::Fault;
+use crate::SettingsError;
 use crate::fields::Fields;
-use crate::raw::{Place, Section};
+use crate::raw::{Location, Section};
 
-const MS: Micros = 1_000;
-const S: Micros = 1_000_000;
+const MILLISECOND: Micros = 1_000;
+const SECOND: Micros = 1_000_000;
 
-/// The sections that make a scenario.
+/// Kinds of sections in a scenario.
 pub const SECTIONS: [&str; 3] = ["scale", "network", "function"];
 
 /// A quantity that a scenario, a flag and a sweep can set.
@@ -19,45 +19,45 @@
 pub struct Quantity {
     /// Its name, as a field of `scale(...)`; its flag has `-` in place of `_`.
     pub name: &'static str,
-    /// Its least value.
-    pub least: f64,
-    /// Its greatest value.
-    pub most: f64,
-    /// It has whole values only.
-    pub is_whole: bool,
+    /// Its smallest value.
+    pub min: f64,
+    /// Its largest value.
+    pub max: f64,
+    /// Only integers are valid.
+    pub is_integer: bool,
 }
 
-const fn whole(name: &'static str, least: f64, most: f64) -> Quantity {
-    Quantity { name, least, most, is_whole: true }
+const fn integer(name: &'static str, min: f64, max: f64) -> Quantity {
+    Quantity { name, min, max, is_integer: true }
 }
 
-const fn real(name: &'static str, least: f64, most: f64) -> Quantity {
-    Quantity { name, least, most, is_whole: false }
+const fn decimal(name: &'static str, min: f64, max: f64) -> Quantity {
+    Quantity { name, min, max, is_integer: false }
 }
 
 /// All quantities, with their ranges.
 pub const QUANTITIES: [Quantity; 15] = [
-    whole("gateways", 1.0, 10_000.0),
-    whole("workers", 1.0, 100_000.0),
-    whole("functions", 1.0, 1_000_000.0),
-    whole("instances", 1.0, 10_000_000.0),
-    real("rate", 0.001, 1e7),
-    real("rate_fraction", 1e-5, 1.0),
-    whole("hot_functions", 0.0, 1_000_000.0),
-    real("hot_share", 0.0, 1.0),
-    real("config_changes_per_hour", 0.0, 100_000.0),
-    real("list_changes_per_hour", 0.0, 1_000_000.0),
-    whole("zones", 1.0, 100.0),
-    whole("regions", 1.0, 100.0),
-    whole("seed", 0.0, 9e15),
-    real("seconds", 0.1, 86_400.0),
-    whole("real", 0.0, 100.0),
+    integer("gateways", 1.0, 10_000.0),
+    integer("workers", 1.0, 100_000.0),
+    integer("functions", 1.0, 1_000_000.0),
+    integer("instances", 1.0, 10_000_000.0),
+    decimal("rate", 0.001, 1e7),
+    decimal("rate_fraction", 1e-5, 1.0),
+    integer("hot_functions", 0.0, 1_000_000.0),
+    decimal("hot_share", 0.0, 1.0),
+    decimal("config_changes_per_hour", 0.0, 100_000.0),
+    decimal("list_changes_per_hour", 0.0, 1_000_000.0),
+    integer("zones", 1.0, 100.0),
+    integer("regions", 1.0, 100.0),
+    integer("seed", 0.0, 9e15),
+    decimal("seconds", 0.1, 86_400.0),
+    integer("real", 0.0, 100.0),
 ];
 
 /// What a scale run simulates.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScaleScenario {
-    /// The settings that every gateway has.
+    /// The settings file that all gateways use.
     pub settings: PathBuf,
     /// Gateways of the fleet, all simulated.
     pub gateways: usize,
@@ -67,46 +67,46 @@
     pub functions: usize,
     /// Instances that all workers together have memory for.
     pub instances: usize,
-    /// Calls a second of the whole fleet, as planned.
+    /// Planned calls per second of the whole fleet.
     pub rate: f64,
-    /// The part of these that is made.
+    /// The fraction of `rate` that the run generates.
     pub rate_fraction: f64,
     /// Functions that are called often.
     pub hot_functions: usize,
-    /// The part of the calls that goes to those; the rest is spread evenly over all others.
+    /// The fraction of the calls that goes to hot functions; the rest is spread evenly over the others.
     pub hot_share: f64,
-    /// Changes of the gateways' settings an hour.
+    /// Changes of the gateways' settings per hour.
     pub config_changes_per_hour: f64,
-    /// Changed entries of the worker list an hour.
+    /// Changed entries of the worker list per hour.
     pub list_changes_per_hour: f64,
     /// Zones of the whole fleet.
     pub zones: usize,
     /// Regions that the zones are in.
     pub regions: usize,
-    /// Of all random draws.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// Simulated seconds.
+    /// Length of the run, in simulated seconds.
     pub seconds: f64,
     /// Real gateway processes beside the simulated ones.
     pub real: usize,
-    /// Machines that give out the worker list and the settings.
+    /// Machines that distribute the worker list and the settings.
     pub sources: usize,
-    /// What each of those can send, in bytes a second.
+    /// Bandwidth of each source, in bytes per second.
     pub source_bytes_per_s: usize,
-    /// One way, within a zone.
+    /// One-way delay within a zone.
     pub within_zone: Micros,
-    /// One way, between zones of a region.
+    /// One-way delay between zones of a region.
     pub between_zones: Micros,
-    /// One way, between regions.
+    /// One-way delay between regions.
     pub between_regions: Micros,
-    /// What is known of each function.
+    /// Memory, concurrency, load time and work of each function.
     pub shape: Shape,
-    /// Bytes of a call's body.
+    /// Size of a call's body, in bytes.
     pub body: usize,
 }
 
 impl ScaleScenario {
-    fn absent() -> Self {
+    fn defaults() -> Self {
         Self {
             settings: PathBuf::new(),
             gateways: 1,
@@ -126,25 +126,25 @@
             real: 0,
             sources: 4,
             source_bytes_per_s: 125_000_000,
-            within_zone: MS / 4,
-            between_zones: MS,
-            between_regions: 35 * MS,
-            shape: Shape { memory_mb: 300, lanes: 4, load_time: 300 * MS, work: 5 * MS },
+            within_zone: MILLISECOND / 4,
+            between_zones: MILLISECOND,
+            between_regions: 35 * MILLISECOND,
+            shape: Shape { memory_mb: 300, lanes: 4, load_time: 300 * MILLISECOND, work: 5 * MILLISECOND },
             body: 200,
         }
     }
 
-    /// Sets a quantity by its name; an error says what is wanted instead.
+    /// Sets a quantity by its name. The error describes the valid names or values.
     pub fn set(&mut self, name: &str, value: f64) -> Result<(), String> {
         let Some(quantity) = QUANTITIES.iter().find(|quantity| quantity.name == name) else {
             let names: Vec<_> = QUANTITIES.iter().map(|quantity| quantity.name).collect();
             return Err(format!("no such quantity; there are {}", names.join(", ")));
         };
-        let Quantity { least, most, is_whole, .. } = *quantity;
-        let fits = (least..=most).contains(&value) && (!is_whole || value.fract() == 0.0);
-        if !fits {
-            let kind = if is_whole { "a whole number" } else { "a number" };
-            return Err(format!("{kind} from {least} to {most} is wanted"));
+        let Quantity { min, max, is_integer, .. } = *quantity;
+        let is_valid = (min..=max).contains(&value) && (!is_integer || value.fract() == 0.0);
+        if !is_valid {
+            let kind = if is_integer { "a whole number" } else { "a number" };
+            return Err(format!("{kind} from {min} to {max} is wanted"));
         }
         let count = value as usize;
         match name {
@@ -167,7 +167,7 @@
         Ok(())
     }
 
-    /// What contradicts what.
+    /// Describes each pair of quantities that contradict each other.
     pub fn contradictions(&self) -> Vec<String> {
         let Self { zones, regions, gateways, workers, functions, hot_functions, hot_share, .. } = self;
         let found = [
@@ -186,87 +186,93 @@
                 format!("hot_share = {hot_share}, but hot_functions = 0"),
             ),
         ];
-        found.into_iter().filter(|(wrong, _)| *wrong).map(|(_, what)| what).collect()
+        found.into_iter().filter(|(wrong, _)| *wrong).map(|(_, message)| message).collect()
     }
 
-    /// Calls a second that are made.
+    /// Calls per second that the run generates.
     pub fn made_rate(&self) -> f64 {
         self.rate * self.rate_fraction
     }
 }
 
-pub fn check(path: &Path, sections: Vec<Section>) -> Result<ScaleScenario, Vec<Fault>> {
-    let mut faults = Vec::new();
-    let mut seen: Vec<(String, Place)> = Vec::new();
-    let mut scenario = ScaleScenario::absent();
+/// Builds the scenario.
+pub fn check(path: &Path, sections: Vec<Section>) -> Result<ScaleScenario, Vec<SettingsError>> {
+    let mut errors = Vec::new();
+    let mut seen: Vec<(String, Location)> = Vec::new();
+    let mut scenario = ScaleScenario::defaults();
     for section in sections {
-        let (kind, place) = (section.kind.clone(), section.place.clone());
+        let (kind, location) = (section.kind.clone(), section.location.clone());
         if let Some((_, first)) = seen.iter().find(|(other, _)| *other == kind) {
-            let what = format!("{kind}: a second one, the first stands at {first}");
-            faults.push(Fault { place: place.clone(), what });
+            let message = format!("{kind}: a second one, the first is at {first}");
+            errors.push(SettingsError { location: location.clone(), message });
         }
         if !SECTIONS.contains(&kind.as_str()) {
-            let what =
+            let message =
                 format!("{kind}(...) belongs in a gateway's settings or a plan, not in a scale scenario");
-            faults.push(Fault { place: place.clone(), what });
+            errors.push(SettingsError { location: location.clone(), message });
             continue;
         }
-        seen.push((kind.clone(), place));
-        let mut fields = Fields::new(section, &mut faults);
+        seen.push((kind.clone(), location));
+        let mut fields = Fields::new(section, &mut errors);
         match kind.as_str() {
-            "scale" => scale(&mut fields, &mut scenario, path),
-            "network" => network(&mut fields, &mut scenario),
-            _ => function(&mut fields, &mut scenario),
+            "scale" => read_scale(&mut fields, &mut scenario, path),
+            "network" => read_network(&mut fields, &mut scenario),
+            _ => read_function(&mut fields, &mut scenario),
         }
-        fields.end();
+        fields.finish();
     }
     if !seen.iter().any(|(kind, _)| kind == "scale") {
-        let place = Place { file: path.display().to_string(), line: 1, column: 1 };
-        faults.push(Fault { place, what: "there is no scale(...)".into() });
+        let location = Location { file: path.display().to_string(), line: 1, column: 1 };
+        errors.push(SettingsError { location, message: "there is no scale(...)".into() });
     }
-    if faults.is_empty() { Ok(scenario) } else { Err(faults) }
+    if errors.is_empty() { Ok(scenario) } else { Err(errors) }
 }
 
-/// Quantities without which a scenario says nothing.
-const NEEDED: [&str; 5] = ["gateways", "workers", "functions", "instances", "rate"];
+/// Quantities without a default.
+const REQUIRED: [&str; 5] = ["gateways", "workers", "functions", "instances", "rate"];
 
-fn scale(f: &mut Fields, to: &mut ScaleScenario, path: &Path) {
-    let settings = f.needed_text("settings");
-    to.settings = path.parent().unwrap_or(Path::new("")).join(settings);
+fn read_scale(fields: &mut Fields, scenario: &mut ScaleScenario, path: &Path) {
+    let settings = fields.required_text("settings");
+    scenario.settings = path.parent().unwrap_or(Path::new("")).join(settings);
     for quantity in QUANTITIES {
-        let there = f.there(quantity.name);
-        let value = f.quantity(quantity);
+        let is_set = fields.is_set(quantity.name);
+        let value = fields.quantity(quantity);
         match value {
-            Some(value) => _ = to.set(quantity.name, value),
-            None => {
-                f.must(there || !NEEDED.contains(&quantity.name), &format!("{} is missing", quantity.name))
-            }
+            Some(value) => _ = scenario.set(quantity.name, value),
+            None => fields.require(
+                is_set || !REQUIRED.contains(&quantity.name),
+                &format!("{} is missing", quantity.name),
+            ),
         }
     }
-    for contradiction in to.contradictions() {
-        f.must(false, &contradiction);
+    for contradiction in scenario.contradictions() {
+        fields.require(false, &contradiction);
     }
 }
 
-fn network(f: &mut Fields, to: &mut ScaleScenario) {
-    to.within_zone = f.time("within_zone", to.within_zone);
-    to.between_zones = f.time("between_zones", to.between_zones);
-    to.between_regions = f.time("between_regions", to.between_regions);
-    to.sources = f.count("sources", to.sources, (1, 100));
-    to.source_bytes_per_s = f.size("source_bytes_per_s", to.source_bytes_per_s);
-    f.must(to.source_bytes_per_s > 0, "source_bytes_per_s must be above zero");
-    f.must(to.between_regions <= 10 * S, "between_regions is longer than s(10)");
-    let (near, mid, far) = (to.within_zone, to.between_zones, to.between_regions);
-    f.must(near <= mid && mid <= far, "within_zone, between_zones, between_regions must not fall");
+fn read_network(fields: &mut Fields, scenario: &mut ScaleScenario) {
+    scenario.within_zone = fields.time("within_zone", scenario.within_zone);
+    scenario.between_zones = fields.time("between_zones", scenario.between_zones);
+    scenario.between_regions = fields.time("between_regions", scenario.between_regions);
+    scenario.sources = fields.count("sources", scenario.sources, (1, 100));
+    scenario.source_bytes_per_s = fields.size("source_bytes_per_s", scenario.source_bytes_per_s);
+    fields.require(scenario.source_bytes_per_s > 0, "source_bytes_per_s must be above zero");
+    fields.require(scenario.between_regions <= 10 * SECOND, "between_regions is longer than s(10)");
+    let (zone_delay, region_delay, longest_delay) =
+        (scenario.within_zone, scenario.between_zones, scenario.between_regions);
+    fields.require(
+        zone_delay <= region_delay && region_delay <= longest_delay,
+        "within_zone, between_zones, between_regions must not fall",
+    );
 }
 
-fn function(f: &mut Fields, to: &mut ScaleScenario) {
-    let shape = &mut to.shape;
-    shape.memory_mb = f.count("memory_mb", shape.memory_mb as usize, (1, 1_000_000)) as u32;
-    shape.lanes = f.count("lanes", shape.lanes as usize, (1, 1_000)) as u32;
-    shape.load_time = f.time("load_time", shape.load_time);
-    shape.work = f.time("work", shape.work);
-    to.body = f.count("body", to.body, (0, 1 << 20));
-    let (work, load) = (to.shape.work, to.shape.load_time);
-    f.must(work > 0 && load > 0, "work and load_time must be above zero");
+fn read_function(fields: &mut Fields, scenario: &mut ScaleScenario) {
+    let shape = &mut scenario.shape;
+    shape.memory_mb = fields.count("memory_mb", shape.memory_mb as usize, (1, 1_000_000)) as u32;
+    shape.lanes = fields.count("lanes", shape.lanes as usize, (1, 1_000)) as u32;
+    shape.load_time = fields.time("load_time", shape.load_time);
+    shape.work = fields.time("work", shape.work);
+    scenario.body = fields.count("body", scenario.body, (0, 1 << 20));
+    let (work, load) = (scenario.shape.work, scenario.shape.load_time);
+    fields.require(work > 0 && load > 0, "work and load_time must be above zero");
 }
--- a/crates/settings/tests/faults.rs
+++ b/crates/settings/tests/faults.rs
@@ -1,44 +1,44 @@
-//! Wrong scripts: each fault has its place and its value, and all are told in one run.
+//! Invalid scripts: each error has its location and value, and one run reports all errors.
 
 use std::path::Path;
 
-use cresswheel_settings::{Faults, read};
+use cresswheel_settings::{SettingsErrors, read};
 
-const HEAD: &str = "gateway(name = \"g\", listen = \"127.0.0.1:0\")\n";
+const GATEWAY: &str = "gateway(name = \"g\", listen = \"127.0.0.1:0\")\n";
 const CLASS: &str = "call_class(name = \"c\", aim = ms(600), give_up = s(5), effect = \"safe\")\n";
 const WORKER: &str = "worker(address = \"127.0.0.1:9\")\n";
 
-fn in_folder(files: &[(&str, &str)]) -> Result<cresswheel_gateway::GatewaySettings, Faults> {
+fn in_folder(files: &[(&str, &str)]) -> Result<cresswheel_gateway::GatewaySettings, SettingsErrors> {
     let folder = tempfile::tempdir().unwrap();
     for (name, text) in files {
         std::fs::write(folder.path().join(name), text).unwrap();
     }
     let read = read(&folder.path().join(files[0].0));
-    // Places without the folder, which differs from run to run.
-    read.map_err(|Faults(mut faults)| {
+    // Without the folder's name, which differs between runs.
+    read.map_err(|SettingsErrors(mut errors)| {
         let prefix = format!("{}/", folder.path().display());
-        for fault in &mut faults {
-            fault.place.file = fault.place.file.replace(&prefix, "");
-            fault.what = fault.what.replace(&prefix, "");
+        for error in &mut errors {
+            error.location.file = error.location.file.replace(&prefix, "");
+            error.message = error.message.replace(&prefix, "");
         }
-        Faults(faults)
+        SettingsErrors(errors)
     })
 }
 
-fn faults(script: &str) -> Vec<String> {
-    let found = in_folder(&[("a.star", script)]).expect_err("a fault");
+fn errors(script: &str) -> Vec<String> {
+    let found = in_folder(&[("a.star", script)]).expect_err("an error");
     found.0.iter().map(ToString::to_string).collect()
 }
 
-/// The sound script with one more line, its fourth.
-fn with(line: &str) -> Vec<String> {
-    faults(&format!("{HEAD}{CLASS}{WORKER}{line}\n"))
+/// The errors of a valid script with one more line, its fourth.
+fn errors_with(line: &str) -> Vec<String> {
+    errors(&format!("{GATEWAY}{CLASS}{WORKER}{line}\n"))
 }
 
 #[test]
-fn a_sound_script_becomes_settings() {
+fn a_valid_script_becomes_settings() {
     let script = format!(
-        "{HEAD}{CLASS}{WORKER}limits(open_bytes = mb(1.5), results_keep = minutes(2))\n\
+        "{GATEWAY}{CLASS}{WORKER}limits(open_bytes = mb(1.5), results_keep = minutes(2))\n\
         call_class(name = \"k\", aim = s(1), give_up = s(2), effect = keyed(group = \"cell\", memory = s(2)))\n"
     );
     let settings = in_folder(&[("a.star", &script)]).unwrap();
@@ -49,22 +49,25 @@
 }
 
 #[test]
-fn connections_and_their_ends_become_terms_of_the_clients_side() {
+fn connection_limits_become_settings_of_client_connections() {
     let script = format!(
         "{}{CLASS}{WORKER}limits(connections = 100000, stop_within = s(1), pings_per_s = 0, calls_per_connection = 7)",
-        HEAD.replace(")", ", holders = 6)")
+        GATEWAY.replace(")", ", holders = 6)")
     );
     let settings = in_folder(&[("a.star", &script)]).unwrap();
-    let terms = settings.shell.clients;
-    assert_eq!((settings.holders, terms.door.connections, terms.per_connection), (Some(6), 100_000, 7));
-    assert_eq!(terms.door.leave_over, 500_000, "half of stop_within, if nothing is said");
-    assert_eq!(terms.door.pings_per_s, 0);
-    let wrong = faults(&format!("{}{CLASS}{WORKER}", HEAD.replace(")", ", holders = 65)")));
-    assert!(wrong[0].starts_with("a.star:1:45: holders = 65: a whole number from 0 to 64"), "{wrong:?}");
+    let clients = settings.shell.clients;
+    assert_eq!((settings.holders, clients.door.connections, clients.per_connection), (Some(6), 100_000, 7));
+    assert_eq!(clients.door.leave_over, 500_000, "half of stop_within by default");
+    assert_eq!(clients.door.pings_per_s, 0);
+    let errors_found = errors(&format!("{}{CLASS}{WORKER}", GATEWAY.replace(")", ", holders = 65)")));
+    assert!(
+        errors_found[0].starts_with("a.star:1:45: holders = 65: a whole number from 0 to 64"),
+        "{errors_found:?}"
+    );
 }
 
 #[test]
-fn each_fault_is_told_with_its_place_and_value() {
+fn each_error_has_its_location_and_value() {
     let cases = [
         ("limits(open_calls = 0)", "a.star:4:8: open_calls = 0: a whole number from 1 to"),
         ("limits(stop_within = 5)", "a.star:4:8: stop_within = 5: a time such as ms(600) or s(5) is wanted"),
@@ -85,7 +88,7 @@
         ("limits(worker_idle = s(\"1\"))", "a.star:4:22: a unit takes a number, not \"1\""),
         ("limits(open_cals = 9)", "a.star:4:8: limits: unknown name open_cals = 9; did you mean open_calls?"),
         ("limits(zebra = 9)", "a.star:4:8: limits: unknown name zebra = 9"),
-        ("limits()\nlimits()", "a.star:5:1: limits: a second one, the first stands at"),
+        ("limits()\nlimits()", "a.star:5:1: limits: a second one, the first is at"),
         (
             "fleet(when_absent = \"wait\")",
             "a.star:4:7: when_absent = \"wait\": \"load\" or \"miss\" is wanted",
@@ -97,7 +100,7 @@
         ("fleet(keep_alive = s(0))", "a.star:4:1: fleet: keep_alive must be above zero"),
         (
             "call_class(name = \"c\", aim = s(1), give_up = s(2), effect = \"safe\")",
-            "a second class of the name \"c\"",
+            "a second class with the name \"c\"",
         ),
         (
             "call_class(name = \"d\", aim = s(3), give_up = s(2), effect = \"safe\")",
@@ -125,7 +128,7 @@
             "a.star:1:1: answer_margin = ms(10) takes over half of the shortest aim, ms(19)",
         ),
         ("worker(address = \"nowhere\")", "a.star:4:8: address = \"nowhere\": an address such as"),
-        ("worker(address = \"127.0.0.1:9\")", "a.star:4:1: worker: a second worker of the id"),
+        ("worker(address = \"127.0.0.1:9\")", "a.star:4:1: worker: a second worker with the id"),
         ("tenant(name = \"t\", quota_per_s = -1)", "a.star:4:20: quota_per_s = -1: a number from 0 to"),
         ("ration(free = 4)", "a.star:4:1: ration: window is missing"),
         ("cold_start(from_share = 2)", "a.star:4:12: from_share = 2: a number from 0.001 to 1"),
@@ -141,52 +144,52 @@
         ("[[y for y in range(100000000)] for x in range(100000000)]", ""),
         ("load(\"none.star\", \"x\")", "none.star: No such file"),
     ];
-    for (line, wanted) in cases {
-        let found = with(line);
+    for (line, expected) in cases {
+        let found = errors_with(line);
         assert!(
-            found.iter().any(|fault| fault.contains(wanted)),
-            "{line}\n  wanted {wanted}\n  found {found:#?}"
+            found.iter().any(|error| error.contains(expected)),
+            "{line}\n  wanted {expected}\n  found {found:#?}"
         );
-        assert!(found.iter().all(|fault| fault.starts_with("a.star:")), "{found:?}");
+        assert!(found.iter().all(|error| error.starts_with("a.star:")), "{found:?}");
     }
 }
 
 #[test]
-fn what_is_missing_is_said_of_the_whole() {
+fn missing_sections_and_contradictions_are_errors_of_the_file_or_its_gateway() {
     assert_eq!(
-        faults(""),
+        errors(""),
         ["a.star:1:1: there is no gateway(...)", "a.star:1:1: there is no call_class(...)"]
     );
-    let found = faults(&format!("{HEAD}{CLASS}"));
+    let found = errors(&format!("{GATEWAY}{CLASS}"));
     assert_eq!(found, ["a.star:1:1: neither a list nor a worker(...): there is nothing to send calls to"]);
-    let found = faults(&format!(
+    let found = errors(&format!(
         "gateway(name = \"g\", listen = \"127.0.0.1:0\", answer_margin = ms(1))\n{CLASS}{WORKER}"
     ));
     assert!(found[0].contains("answer_margin must be two ticks at least"), "{found:?}");
 }
 
 #[test]
-fn all_faults_are_told_in_one_run_in_order() {
+fn one_run_reports_all_errors_in_order() {
     let script = "gateway(\n    name = 1,\n    tick = 2,\n    http = 3,\n)\nfleet(gateways = 0)\n";
-    let lines: Vec<String> = faults(script).iter().map(|f| f.split(": ").next().unwrap().into()).collect();
-    let wanted = ["a.star:1:1", "a.star:1:1", "a.star:2:5", "a.star:3:5", "a.star:4:5", "a.star:6:7"];
-    assert_eq!(lines, wanted);
+    let lines: Vec<String> = errors(script).iter().map(|f| f.split(": ").next().unwrap().into()).collect();
+    let expected = ["a.star:1:1", "a.star:1:1", "a.star:2:5", "a.star:3:5", "a.star:4:5", "a.star:6:7"];
+    assert_eq!(lines, expected);
 }
 
 #[test]
-fn files_that_load_each_other_are_named_as_a_chain() {
+fn a_load_cycle_is_reported_with_its_files() {
     let a = ("a.star", "load(\"b.star\", \"x\")\n");
     let b = ("b.star", "x = 1\nload(\"c.star\", \"x\")\n");
     let c = ("c.star", "load(\"a.star\", \"x\")\n");
     let found = in_folder(&[a, b, c]).unwrap_err();
-    let wanted = "c.star:1:6: files load each other in a circle: a.star -> b.star -> c.star -> a.star";
-    assert_eq!(found.to_string(), wanted);
+    let expected = "c.star:1:6: files load each other in a cycle: a.star -> b.star -> c.star -> a.star";
+    assert_eq!(found.to_string(), expected);
     assert!(read(Path::new("/nowhere/a.star")).unwrap_err().to_string().contains("No such file"));
 }
 
 #[test]
-fn loaded_files_put_sections_down_and_their_faults_keep_their_place() {
-    let main = ("a.star", format!("load(\"b.star\", \"put\")\n{HEAD}{WORKER}put(ms(5))\n"));
+fn sections_of_loaded_files_count_and_errors_have_the_location_in_the_loaded_file() {
+    let main = ("a.star", format!("load(\"b.star\", \"put\")\n{GATEWAY}{WORKER}put(ms(5))\n"));
     let def = (
         "b.star",
         "def put(aim):\n    call_class(name = \"c\", aim = aim, give_up = ms(1), effect = \"safe\")\n",
@@ -196,19 +199,20 @@
 }
 
 #[test]
-fn version_orders_need_a_place_to_be_written_and_a_key_or_a_word() {
+fn version_orders_need_a_state_folder_and_a_key_or_open() {
     assert_eq!(
-        with("versions(open = True)"),
-        ["a.star:4:1: orders are written down: state = \"...\" is wanted in gateway(...)"]
+        errors_with("versions(open = True)"),
+        ["a.star:4:1: version orders are stored on disk: state = \"...\" is wanted in gateway(...)"]
     );
-    let wanted = "versions: key_file = \"...\" is wanted, or open = True: whoever reaches it may order";
-    assert_eq!(with("versions()"), [format!("a.star:4:1: {wanted}")]);
-    let none = with("versions(key_file = \"/nowhere/key\")");
+    let expected =
+        "versions: key_file = \"...\" is wanted, or open = True, which lets any client give version orders";
+    assert_eq!(errors_with("versions()"), [format!("a.star:4:1: {expected}")]);
+    let none = errors_with("versions(key_file = \"/nowhere/key\")");
     assert!(none[0].starts_with("a.star:4:1: versions: key_file = \"/nowhere/key\": "), "{none:?}");
-    let empty = with("versions(key_file = \"/dev/null\")");
+    let empty = errors_with("versions(key_file = \"/dev/null\")");
     assert!(empty[0].ends_with("a key has from 16 to 512 bytes"), "{empty:?}");
     assert_eq!(
-        with("shift(function = \"f\")"),
+        errors_with("shift(function = \"f\")"),
         ["a.star:4:1: shift(...) belongs in a plan, not in a gateway's settings"]
     );
 }
--- a/crates/settings/tests/scenarios.rs
+++ b/crates/settings/tests/scenarios.rs
@@ -1,24 +1,27 @@
-//! Scenarios of scale runs: what is read, and that each script is told from the other kinds.
+//! Scenarios of scale runs: what is read, and that a scenario isn't accepted as a gateway's settings.
 
-use cresswheel_settings::{Faults, QUANTITIES, ScaleScenario, read, read_scale};
+use cresswheel_settings::{QUANTITIES, ScaleScenario, SettingsErrors, read, read_scale};
 
 const SCALE: &str =
     "scale(settings = \"g.star\", gateways = 6, workers = 9, functions = 40, instances = 90, rate = 120";
 
-fn scenario(text: &str) -> Result<ScaleScenario, Faults> {
+fn scenario(text: &str) -> Result<ScaleScenario, SettingsErrors> {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("s.star");
     std::fs::write(&file, text).unwrap();
     read_scale(&file)
 }
 
-fn faults(text: &str) -> Vec<String> {
-    let found = scenario(text).expect_err("a fault").0;
-    found.iter().map(|fault| format!("{}:{} {}", fault.place.line, fault.place.column, fault.what)).collect()
+fn errors(text: &str) -> Vec<String> {
+    let found = scenario(text).expect_err("an error").0;
+    found
+        .iter()
+        .map(|error| format!("{}:{} {}", error.location.line, error.location.column, error.message))
+        .collect()
 }
 
 #[test]
-fn a_sound_scenario_is_read_with_its_units() {
+fn a_valid_scenario_is_read_with_its_units() {
     let text = format!(
         "{SCALE}, rate_fraction = 0.5, zones = 3, regions = 2)\n\
         network(between_regions = ms(40), source_bytes_per_s = mb(2))\n\
@@ -33,10 +36,10 @@
 }
 
 #[test]
-fn all_faults_are_told_at_once_with_their_places() {
+fn one_run_reports_all_errors_with_their_locations() {
     let text = format!("{SCALE}, zones = 0)\nnetwork(within_zone = 3)\nfunction(lanes = 0, wrok = ms(1))\n");
     assert_eq!(
-        faults(&text),
+        errors(&text),
         [
             "1:99 zones = 0: a whole number from 1 to 100 is wanted",
             "2:9 within_zone = 3: a time such as ms(600) or s(5) is wanted",
@@ -45,13 +48,16 @@
         ]
     );
     let twice = format!("{SCALE})\n{SCALE})\n");
-    assert!(faults(&twice)[0].contains("scale: a second one"));
-    let falling = format!("{SCALE})\nnetwork(within_zone = ms(9), between_zones = ms(1))\n");
-    assert_eq!(faults(&falling), ["2:1 network: within_zone, between_zones, between_regions must not fall"]);
+    assert!(errors(&twice)[0].contains("scale: a second one"));
+    let decreasing = format!("{SCALE})\nnetwork(within_zone = ms(9), between_zones = ms(1))\n");
+    assert_eq!(
+        errors(&decreasing),
+        ["2:1 network: within_zone, between_zones, between_regions must not fall"]
+    );
 }
 
 #[test]
-fn a_scenario_is_no_gateways_settings() {
+fn a_scenario_is_rejected_as_gateway_settings() {
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("s.star");
     std::fs::write(&file, format!("{SCALE})\n")).unwrap();
@@ -60,14 +66,14 @@
 }
 
 #[test]
-fn every_quantity_can_be_set_within_its_range_only() {
+fn every_quantity_can_only_be_set_within_its_range() {
     let mut read = scenario(&format!("{SCALE})\n")).unwrap();
     for quantity in QUANTITIES {
-        assert_eq!(read.set(quantity.name, quantity.least), Ok(()), "{}", quantity.name);
-        assert_eq!(read.set(quantity.name, quantity.most), Ok(()), "{}", quantity.name);
-        for outside in [quantity.least - 1.0, quantity.most * 2.0, f64::NAN, f64::INFINITY] {
-            let wrong = read.set(quantity.name, outside).unwrap_err();
-            assert!(wrong.contains("is wanted"), "{}: {wrong}", quantity.name);
+        assert_eq!(read.set(quantity.name, quantity.min), Ok(()), "{}", quantity.name);
+        assert_eq!(read.set(quantity.name, quantity.max), Ok(()), "{}", quantity.name);
+        for outside in [quantity.min - 1.0, quantity.max * 2.0, f64::NAN, f64::INFINITY] {
+            let error = read.set(quantity.name, outside).unwrap_err();
+            assert!(error.contains("is wanted"), "{}: {error}", quantity.name);
         }
     }
     assert!(read.set("wheels", 3.0).unwrap_err().contains("no such quantity"));
