--- a/crates/standins/src/control.rs
+++ b/crates/standins/src/control.rs
@@ -5,27 +5,27 @@
 /// A fault that a worker simulates for a time.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fault {
-    /// Reads everything and answers nothing, probes included.
+    /// The worker reads all messages and answers none, not even probes.
     Hang,
-    /// This share of the answers is lost; probes pass.
+    /// This share of the answers is lost; probes are answered.
     Lose(f64),
     /// This share of the answers of one class is lost.
     LoseClass(String, f64),
-    /// This share of the connections with an answer due breaks instead.
+    /// With this probability the connection is closed in place of sending an answer.
     Reset(f64),
-    /// This share of the calls fails at once.
+    /// This share of the calls fails immediately.
     Fail(f64),
     /// This share of the loads fails.
     LoadFail(f64),
-    /// Everything takes so many times as long.
+    /// Calls and loads take this many times as long.
     Slow(f64),
     /// All calls and orders are rejected.
     Refuse,
-    /// Nothing passes between the worker and gateways of this zone.
+    /// The worker and the gateways of this zone don't reach each other.
     Cut(String),
     /// This share of the answers is sent twice.
     Twice(f64),
-    /// Each answer is accompanied by one to a call that the worker never got.
+    /// Each answer is followed by an answer to an attempt that the worker never received.
     Stray,
     /// This share of the calls of a version ends in an error, after running.
     BadVersion(String, f64),
@@ -33,7 +33,7 @@
     Swap(String, String),
 }
 
-/// The active faults, each until its end.
+/// The active faults with the time when each ends.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
     until: BTreeMap<&'static str, (u64, Fault)>,
@@ -47,31 +47,32 @@
             Ok(share) if (0.0..=1.0).contains(&share) => Ok(share),
             _ => Err(format!("{words}: {text} is no share from 0 to 1")),
         };
-        let (name, fault, span) = match parts[..] {
-            ["hang", span] => ("hang", Fault::Hang, span),
-            ["lose", part, span] => ("lose", Fault::Lose(share(part)?), span),
-            ["lose-class", class, part, span] => {
-                ("lose-class", Fault::LoseClass(class.into(), share(part)?), span)
+        let (name, fault, duration) = match parts[..] {
+            ["hang", duration] => ("hang", Fault::Hang, duration),
+            ["lose", part, duration] => ("lose", Fault::Lose(share(part)?), duration),
+            ["lose-class", class, part, duration] => {
+                ("lose-class", Fault::LoseClass(class.into(), share(part)?), duration)
             }
-            ["reset", part, span] => ("reset", Fault::Reset(share(part)?), span),
-            ["fail", part, span] => ("fail", Fault::Fail(share(part)?), span),
-            ["load-fail", part, span] => ("load-fail", Fault::LoadFail(share(part)?), span),
-            ["twice", part, span] => ("twice", Fault::Twice(share(part)?), span),
-            ["bad-version", version, part, span] => {
-                ("bad-version", Fault::BadVersion(version.into(), share(part)?), span)
+            ["reset", part, duration] => ("reset", Fault::Reset(share(part)?), duration),
+            ["fail", part, duration] => ("fail", Fault::Fail(share(part)?), duration),
+            ["load-fail", part, duration] => ("load-fail", Fault::LoadFail(share(part)?), duration),
+            ["twice", part, duration] => ("twice", Fault::Twice(share(part)?), duration),
+            ["bad-version", version, part, duration] => {
+                ("bad-version", Fault::BadVersion(version.into(), share(part)?), duration)
             }
-            ["swap", name, image, span] => ("swap", Fault::Swap(name.into(), image.into()), span),
-            ["stray", span] => ("stray", Fault::Stray, span),
-            ["refuse", span] => ("refuse", Fault::Refuse, span),
-            ["cut", zone, span] => ("cut", Fault::Cut(zone.into()), span),
-            ["slow", times, span] => match times.parse::<f64>() {
-                Ok(times) if (1.0..=1e3).contains(&times) => ("slow", Fault::Slow(times), span),
-                _ => return Err(format!("{words}: {times} is no factor from 1 to 1000")),
+            ["swap", name, image, duration] => ("swap", Fault::Swap(name.into(), image.into()), duration),
+            ["stray", duration] => ("stray", Fault::Stray, duration),
+            ["refuse", duration] => ("refuse", Fault::Refuse, duration),
+            ["cut", zone, duration] => ("cut", Fault::Cut(zone.into()), duration),
+            ["slow", factor, duration] => match factor.parse::<f64>() {
+                Ok(factor) if (1.0..=1e3).contains(&factor) => ("slow", Fault::Slow(factor), duration),
+                _ => return Err(format!("{words}: {factor} is no factor from 1 to 1000")),
             },
             _ => return Err(format!("{words}: no such fault, or a part of it is missing")),
         };
-        let span: u64 = span.parse().map_err(|_| format!("{words}: {span} are no milliseconds"))?;
-        self.until.insert(name, (now.saturating_add(span.saturating_mul(1_000)), fault));
+        let duration: u64 =
+            duration.parse().map_err(|_| format!("{words}: {duration} are no milliseconds"))?;
+        self.until.insert(name, (now.saturating_add(duration.saturating_mul(1_000)), fault));
         Ok(())
     }
 
@@ -90,15 +91,15 @@
         }
     }
 
-    /// The share of a class's answers that is lost.
+    /// The share of this class's answers that is lost.
     pub fn class_share(&self, now: u64, class: &str) -> f64 {
         match self.get(now, "lose-class") {
-            Some(Fault::LoseClass(struck, share)) if struck == class => *share,
+            Some(Fault::LoseClass(affected, share)) if affected == class => *share,
             _ => 0.0,
         }
     }
 
-    /// The share of the calls of this function, as routed, that its version makes fail.
+    /// The share of calls that fails because of the version of this function (`NAME@VERSION`, as routed).
     pub fn version_share(&self, now: u64, function: &str) -> f64 {
         match self.get(now, "bad-version") {
             Some(Fault::BadVersion(version, share))
@@ -118,12 +119,12 @@
         }
     }
 
-    /// How many times as long everything takes.
+    /// Factor by which calls and loads are slowed down.
     pub fn slowness(&self, now: u64) -> f64 {
-        if let Some(Fault::Slow(times)) = self.get(now, "slow") { *times } else { 1.0 }
+        if let Some(Fault::Slow(factor)) = self.get(now, "slow") { *factor } else { 1.0 }
     }
 
-    /// Whether this zone is cut off.
+    /// Whether the gateways of this zone are cut off.
     pub fn cuts(&self, now: u64, zone: &str) -> bool {
         matches!(self.get(now, "cut"), Some(Fault::Cut(cut)) if cut == zone)
     }
--- a/crates/standins/src/echo.rs
+++ b/crates/standins/src/echo.rs
@@ -1,5 +1,5 @@
-//! Baselines for measurements: a worker that answers at once, and a relay that forwards the same frames as a gateway
-//! and decides nothing.
+//! Baselines for measurements: a worker that answers immediately, and a relay that forwards the same frames
+//! as a gateway without its decisions.
 
 use std::collections::HashMap;
 use std::io;
@@ -11,7 +11,7 @@
 
 use crate::records::{RecordedEvent, Recorder};
 
-/// A worker that answers every call at once, or never.
+/// A worker that answers every call immediately, or never.
 pub struct Echo {
     hub: Hub,
     address: SocketAddr,
@@ -20,14 +20,15 @@
 }
 
 impl Echo {
-    /// Listens. A silent one answers orders only. What passes is recorded in `records`.
+    /// Starts listening. A silent worker answers only prewarm orders. Calls are recorded in the folder
+    /// `records`.
     pub fn start(at: SocketAddr, silent: bool, records: Option<&Path>) -> io::Result<Self> {
         let mut hub = Hub::new(HubLimits::default())?;
         let (_, address) = hub.listen(at, Wire::Frames)?;
         Ok(Self { hub, address, silent, recorder: Recorder::new(records, "echo")? })
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -72,25 +73,25 @@
     }
 }
 
-/// A gateway without an engine: each call goes to the one worker as it comes.
+/// A gateway without an engine: it forwards each call to a single worker.
 pub struct Relay {
     hub: Hub,
     address: SocketAddr,
     to: SocketAddr,
     worker: Option<Connection>,
     open: HashMap<u64, (Connection, u64)>,
-    next: u64,
+    last_attempt: u64,
 }
 
 impl Relay {
-    /// Listens; calls go to `to`.
+    /// Starts listening; calls are forwarded to `to`.
     pub fn start(at: SocketAddr, to: SocketAddr) -> io::Result<Self> {
         let mut hub = Hub::new(HubLimits::default())?;
         let (_, address) = hub.listen(at, Wire::Frames)?;
-        Ok(Self { hub, address, to, worker: None, open: HashMap::new(), next: 0 })
+        Ok(Self { hub, address, to, worker: None, open: HashMap::new(), last_attempt: 0 })
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -100,7 +101,7 @@
         loop {
             self.hub.wait(None)?;
             while let Some(notice) = self.hub.take_notice() {
-                let goes_on = match notice {
+                let keep_running = match notice {
                     Notice::Closed { connection, .. } => {
                         self.worker = self.worker.filter(|worker| *worker != connection);
                         true
@@ -108,7 +109,7 @@
                     Notice::Message(connection, message) => self.message(connection, message),
                     _ => true,
                 };
-                if !goes_on {
+                if !keep_running {
                     return Ok(());
                 }
             }
@@ -129,9 +130,9 @@
                         worker
                     }
                 };
-                self.next += 1;
-                self.open.insert(self.next, (connection, number));
-                let attempt = self.next;
+                self.last_attempt += 1;
+                self.open.insert(self.last_attempt, (connection, number));
+                let attempt = self.last_attempt;
                 let run =
                     Message::Run { attempt, trace, before: 0, function, class, key, time_left, shape, body };
                 self.hub.send(worker, &run, None);
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,7 +1,7 @@
-//! Small peers for tests and rehearsals: a worker ([`Worker`]), the worker list ([`WorkerList`]), the model store
-//! ([`Store`]) and a lossy link ([`Link`]). Each simulates faults on command and records what passed on its
-//! sockets ([`Record`]) for the auditor. They are models, not products: a worker's function is an echo that takes
-//! time.
+//! Simulated peers for tests and rehearsals: a worker ([`Worker`]), the worker list service ([`WorkerList`]),
+//! the model store ([`Store`]) and a faulty network link ([`Link`]). They inject faults on command. Workers
+//! and the list also record the messages on their sockets ([`Record`]) for the auditor. Functions of a worker
+//! do no work: a call occupies an instance for a drawn time and is answered with the worker's id.
 
 mod control;
 mod echo;
--- a/crates/standins/src/list.rs
+++ b/crates/standins/src/list.rs
@@ -1,4 +1,5 @@
-//! The worker list: workers register, gateways follow. It can be slow, frozen, disconnected or wrong on command.
+//! The worker list service: workers register, gateways subscribe. On command it is slow, frozen, disconnected
+//! or wrong.
 
 use std::collections::{BTreeMap, HashMap};
 use std::io;
@@ -10,27 +11,29 @@
 
 use crate::records::{RecordedEvent, Recorder};
 
-/// A worker list process.
+/// A process of the worker list service.
 pub struct WorkerList {
     hub: Hub,
     address: SocketAddr,
     recorder: Recorder,
     entries: BTreeMap<String, Listed>,
     version: u64,
-    /// Which connection registered a worker.
+    /// Worker id by the connection that registered it.
     registered: HashMap<Connection, String>,
-    followers: HashMap<Connection, String>,
+    subscribers: HashMap<Connection, String>,
     names: HashMap<Connection, String>,
     /// Delay between a change and its publication.
     delay: Micros,
     frozen_until: Micros,
     /// How long a worker stays listed after its connection ended.
-    notice: Micros,
+    removal_delay: Micros,
+    /// Changes that are not yet published, with the time when each is due.
     changes: Vec<(Micros, Listed)>,
 }
 
 impl WorkerList {
-    /// Listens.
+    /// Starts listening. Changes are published after `delay`; a worker whose connection ended is removed
+    /// after `notice`.
     pub fn start(at: SocketAddr, records: Option<&Path>, delay: Micros, notice: Micros) -> io::Result<Self> {
         let mut hub = Hub::new(HubLimits::default())?;
         let (_, address) = hub.listen(at, Wire::Frames)?;
@@ -41,16 +44,16 @@
             entries: BTreeMap::new(),
             version: 0,
             registered: HashMap::new(),
-            followers: HashMap::new(),
+            subscribers: HashMap::new(),
             names: HashMap::new(),
             delay,
             frozen_until: 0,
-            notice,
+            removal_delay: notice,
             changes: Vec::new(),
         })
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -62,7 +65,7 @@
             self.recorder.flush();
             self.hub.wait(due)?;
             while let Some(notice) = self.hub.take_notice() {
-                let goes_on = match notice {
+                let keep_running = match notice {
                     Notice::Message(connection, message) => self.message(connection, message),
                     Notice::Closed { connection, .. } => {
                         self.closed(connection);
@@ -70,11 +73,11 @@
                     }
                     _ => true,
                 };
-                if !goes_on {
+                if !keep_running {
                     return Ok(());
                 }
             }
-            self.tell_changes();
+            self.publish_changes();
         }
     }
 
@@ -86,14 +89,14 @@
             }
             Message::Follow {} => {
                 let name = self.names.get(&connection).cloned().unwrap_or_default();
-                self.followers.insert(connection, name);
+                self.subscribers.insert(connection, name);
                 let workers: Vec<Listed> = self.entries.values().cloned().collect();
-                self.tell(connection, true, workers);
+                self.send_list(connection, true, workers);
             }
             Message::Register { workers } => {
                 for worker in workers {
                     self.registered.insert(connection, worker.id.clone());
-                    // Pending removals of its earlier process are void.
+                    // Discards pending removals of the worker's previous process.
                     self.changes.retain(|(_, w)| w.id != worker.id || w.standing != Standing::Out);
                     self.changes.push((now + self.delay, worker));
                 }
@@ -116,10 +119,10 @@
             ms.map(|ms| ms.saturating_mul(1_000))
         };
         match words.split_whitespace().collect::<Vec<_>>()[..] {
-            ["delay", span] => self.delay = ms(span)?,
-            ["notice", span] => self.notice = ms(span)?,
-            ["freeze", span] => self.frozen_until = now + ms(span)?,
-            // A worker that does not exist.
+            ["delay", duration] => self.delay = ms(duration)?,
+            ["notice", duration] => self.removal_delay = ms(duration)?,
+            ["freeze", duration] => self.frozen_until = now + ms(duration)?,
+            // Lists a worker that does not exist.
             ["ghost", id, address] => {
                 let listed = Listed {
                     id: id.into(),
@@ -133,8 +136,8 @@
                 self.changes.push((now, listed));
             }
             ["hang-up"] => {
-                for follower in self.followers.keys().copied().collect::<Vec<_>>() {
-                    self.hub.close(follower, "hangs up on purpose");
+                for subscriber in self.subscribers.keys().copied().collect::<Vec<_>>() {
+                    self.hub.close(subscriber, "closed by the command hang-up");
                 }
             }
             _ => return Err(format!("{words}: no such command")),
@@ -144,17 +147,17 @@
 
     fn closed(&mut self, connection: Connection) {
         self.names.remove(&connection);
-        self.followers.remove(&connection);
+        self.subscribers.remove(&connection);
         if let Some(id) = self.registered.remove(&connection)
             && !self.registered.values().any(|other| *other == id)
             && let Some(listed) = self.entries.get(&id)
         {
-            let gone = Listed { standing: Standing::Out, ..listed.clone() };
-            self.changes.push((self.hub.clock().now() + self.notice, gone));
+            let removed = Listed { standing: Standing::Out, ..listed.clone() };
+            self.changes.push((self.hub.clock().now() + self.removal_delay, removed));
         }
     }
 
-    fn tell_changes(&mut self) {
+    fn publish_changes(&mut self) {
         let now = self.hub.clock().now();
         if now < self.frozen_until {
             return;
@@ -171,17 +174,17 @@
                 self.entries.insert(worker.id.clone(), worker.clone());
             }
         }
-        for follower in self.followers.keys().copied().collect::<Vec<_>>() {
-            self.tell(follower, false, due.clone());
+        for subscriber in self.subscribers.keys().copied().collect::<Vec<_>>() {
+            self.send_list(subscriber, false, due.clone());
         }
     }
 
-    fn tell(&mut self, follower: Connection, whole: bool, workers: Vec<Listed>) {
+    fn send_list(&mut self, subscriber: Connection, whole: bool, workers: Vec<Listed>) {
         let now = self.hub.clock().now();
-        let gateway = self.followers.get(&follower).cloned().unwrap_or_default();
-        let said = workers.iter().map(|w| (w.id.clone(), w.standing.word().to_owned())).collect();
-        self.recorder.write(now, RecordedEvent::Told { gateway, whole, workers: said });
+        let gateway = self.subscribers.get(&subscriber).cloned().unwrap_or_default();
+        let states = workers.iter().map(|w| (w.id.clone(), w.standing.word().to_owned())).collect();
+        self.recorder.write(now, RecordedEvent::Told { gateway, whole, workers: states });
         let version = self.version;
-        self.hub.send(follower, &Message::List { whole, version, workers }, None);
+        self.hub.send(subscriber, &Message::List { whole, version, workers }, None);
     }
 }
--- a/crates/standins/src/random.rs
+++ b/crates/standins/src/random.rs
@@ -3,7 +3,7 @@
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::Rng;
 
-/// A number from 0 up to, but not including, 1.
+/// A uniform random number in [0, 1).
 pub fn uniform(rng: &mut Pcg32) -> f64 {
     f64::from(rng.next_u32()) / (f64::from(u32::MAX) + 1.0)
 }
--- a/crates/standins/src/records.rs
+++ b/crates/standins/src/records.rs
@@ -1,4 +1,4 @@
-//! Records of what passed on the sockets of clients and stand-ins, one JSON object a line: the auditor's only input.
+//! Records of messages at clients and stand-ins, as JSON lines. They are the auditor's only input.
 
 use std::fs::File;
 use std::io::{self, BufWriter, Write};
@@ -18,30 +18,30 @@
     pub what: RecordedEvent,
 }
 
-/// An event on a socket, or something done to the system under test.
+/// A message on a socket, or a command to the system under test.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RecordedEvent {
-    /// A worker process began.
+    /// A worker process started.
     Started {
-        /// When, as the list tells it.
+        /// Start time, as published by the worker list.
         started: u64,
         /// Its zone.
         zone: String,
         /// Its cell.
         cell: u64,
-        /// Work that it can do when warm, in cores of standard speed.
+        /// Capacity when warm, in cores of standard speed.
         power: f64,
-        /// Cold: sent more than this multiple of its capacity ...
+        /// While cold it collapses when it is sent more than this multiple of its capacity ...
         fall_multiple: f64,
-        /// ... for so long, it falls over; 0: never.
+        /// ... within this window, in microseconds; 0: never.
         fall_window: u64,
-        /// Cold: the share of its capacity that it begins with.
+        /// The share of its warm capacity that it starts with.
         cold_from: f64,
-        /// Until it has all of it.
+        /// Time from its start until it has its full capacity, in microseconds.
         warm_up: u64,
     },
-    /// A worker read an attempt.
+    /// A worker received an attempt.
     Run {
         /// The gateway.
         gateway: String,
@@ -53,10 +53,10 @@
         class: String,
         /// The function.
         function: String,
-        /// What the call would take of one core, in microseconds.
+        /// Expected time on one core, in microseconds.
         work: u64,
     },
-    /// A worker began to run a call: its effect happens.
+    /// A worker started to run a call, so its effect happens.
     Began {
         /// The call's trace.
         trace: String,
@@ -69,13 +69,13 @@
         trace: String,
         /// How it ended.
         ending: String,
-        /// The answer was not sent, on purpose.
+        /// A fault kept the answer from being sent.
         lost: bool,
-        /// Whose bytes ran.
+        /// The function whose image ran.
         #[serde(default)]
         image: String,
     },
-    /// A worker read a hold order.
+    /// A worker received a prewarm order.
     Hold {
         /// The gateway.
         gateway: String,
@@ -84,41 +84,41 @@
         /// Instances wanted.
         count: u32,
     },
-    /// Memory that a worker's instances hold from now on.
+    /// The memory use of a worker's instances changed.
     Memory {
-        /// In MB, those that load included.
+        /// New value in MB, including instances that are loading.
         mb: u32,
     },
     /// A cold worker collapsed under overload.
     Fell {
         /// Work sent to it within the window, in core-microseconds.
         sent: u64,
-        /// What it could have borne.
+        /// Work that it could have handled in the window.
         bearable: u64,
     },
-    /// The list sent a gateway workers.
+    /// The worker list service sent entries to a gateway.
     Told {
         /// The gateway.
         gateway: String,
-        /// Workers that are not named are gone.
+        /// The entries are the complete list: workers without an entry are gone.
         whole: bool,
-        /// Each worker and what was said of it.
+        /// Id and state of each worker.
         workers: Vec<(String, String)>,
     },
-    /// A client asked for a call.
+    /// A client sent a call.
     Asked {
         /// The call's trace.
         trace: String,
-        /// The gateway asked.
+        /// The gateway that it was sent to.
         gateway: String,
         /// The class.
         class: String,
-        /// Its answer is fetched later.
+        /// The client fetches the answer later.
         deferred: bool,
-        /// When the client gives up, on its clock.
+        /// The client's deadline, on its own clock.
         deadline: u64,
     },
-    /// A client was told that its deferred call was accepted.
+    /// A gateway accepted a client's deferred call.
     Accepted {
         /// The call's trace.
         trace: String,
@@ -127,45 +127,45 @@
     Answered {
         /// The call's trace.
         trace: String,
-        /// How it ended.
+        /// The final status.
         status: String,
-        /// Why.
+        /// The reason for the status.
         reason: String,
-        /// What ran, as the client was told.
+        /// The function that ran, according to the answer.
         #[serde(default)]
         function: String,
-        /// Its digest, as the client was told.
+        /// The digest of the function, according to the answer.
         #[serde(default)]
         digest: String,
     },
-    /// A client stopped waiting of its own accord.
+    /// A client stopped waiting for the answer.
     GaveUp {
         /// The call's trace.
         trace: String,
     },
-    /// A client's gateway was killed, or could not be reached: the call is the client's to repeat.
+    /// The connection to the gateway ended or could not be established; the client may repeat the call.
     GatewayGone {
         /// The call's trace.
         trace: String,
         /// No connection was established, so the call was never sent.
         unreached: bool,
     },
-    /// Something done to the system under test.
+    /// A command of the scenario, such as an injected fault.
     Scene {
-        /// In words.
+        /// The command.
         words: String,
     },
 }
 
 impl RecordedEvent {
-    /// A client got a final answer, which names what ran.
+    /// Builds [`Self::Answered`]; `origin` names the function that ran.
     pub fn answered(trace: String, status: String, reason: String, origin: Option<Origin>) -> Self {
         let (function, digest) = origin.map(|o| (o.function, o.digest)).unwrap_or_default();
         Self::Answered { trace, status, reason, function, digest }
     }
 }
 
-/// Writes records to a file, each line whole.
+/// Writes records to a file, one per line.
 pub struct Recorder {
     by: String,
     out: Option<BufWriter<File>>,
@@ -190,7 +190,7 @@
         let record = Record { at, by: self.by.clone(), what };
         let written = serde_json::to_writer(&mut *out, &record).map_err(io::Error::from);
         if let Err(error) = written.and_then(|()| out.write_all(b"\n")) {
-            // Without its records a run can't be judged: the auditor misses them and says so.
+            // The auditor reports missing records, so the run doesn't pass unnoticed.
             tracing::error!(%error, "a record could not be written");
         }
     }
--- a/crates/standins/src/store.rs
+++ b/crates/standins/src/store.rs
@@ -1,4 +1,5 @@
-//! The model store that all workers share: it slows down under load, rejects fetches above a limit, and can be stopped.
+//! The model store that all workers share: it slows down under load, rejects fetches above a limit, and can
+//! be stopped.
 
 use std::collections::BTreeSet;
 use std::io;
@@ -11,33 +12,33 @@
 pub struct Store {
     hub: Hub,
     address: SocketAddr,
-    /// Concurrent fetches that it serves at full speed.
+    /// Concurrent fetches that are served at full speed.
     capacity: usize,
-    /// Concurrent fetches that it accepts.
-    most: usize,
-    /// Functions that it reports as missing.
-    absent: BTreeSet<String>,
+    /// Concurrent fetches that are accepted.
+    max_fetches: usize,
+    /// Functions that are reported as missing.
+    missing: BTreeSet<String>,
     stopped_until: Micros,
-    due: BTreeSet<(Micros, Connection, u64)>,
+    fetches: BTreeSet<(Micros, Connection, u64)>,
 }
 
 impl Store {
-    /// Listens.
-    pub fn start(at: SocketAddr, capacity: usize, most: usize) -> io::Result<Self> {
+    /// Starts listening.
+    pub fn start(at: SocketAddr, capacity: usize, max_fetches: usize) -> io::Result<Self> {
         let mut hub = Hub::new(HubLimits::default())?;
         let (_, address) = hub.listen(at, Wire::Frames)?;
         Ok(Self {
             hub,
             address,
             capacity: capacity.max(1),
-            most,
+            max_fetches,
             stopped_until: 0,
-            due: BTreeSet::new(),
-            absent: BTreeSet::new(),
+            fetches: BTreeSet::new(),
+            missing: BTreeSet::new(),
         })
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -45,32 +46,32 @@
     /// Serves until a control message ends it.
     pub fn run(&mut self) -> io::Result<()> {
         loop {
-            self.hub.wait(self.due.first().map(|(at, ..)| *at))?;
+            self.hub.wait(self.fetches.first().map(|(at, ..)| *at))?;
             while let Some(notice) = self.hub.take_notice() {
                 let Notice::Message(connection, message) = notice else { continue };
                 let now = self.hub.clock().now();
                 match message {
                     Message::Fetch { number, time, function } => {
-                        let absent = self.absent.contains(&function);
-                        if absent || now < self.stopped_until || self.due.len() >= self.most {
+                        let missing = self.missing.contains(&function);
+                        if missing || now < self.stopped_until || self.fetches.len() >= self.max_fetches {
                             self.hub.send(connection, &Message::Fetched { number, there: false }, None);
                             continue;
                         }
-                        let crowd = (self.due.len() + 1) as f64 / self.capacity as f64;
-                        let time = (time as f64 * crowd.max(1.0)) as Micros;
-                        self.due.insert((now + time, connection, number));
+                        let load = (self.fetches.len() + 1) as f64 / self.capacity as f64;
+                        let time = (time as f64 * load.max(1.0)) as Micros;
+                        self.fetches.insert((now + time, connection, number));
                     }
                     Message::Control { words } if words == "stop" => return Ok(()),
                     Message::Control { words } if words.starts_with("absent ") => {
-                        self.absent.insert(words["absent ".len()..].into());
+                        self.missing.insert(words["absent ".len()..].into());
                         self.hub.send(connection, &Message::Controlled { wrong: String::new() }, None);
                     }
                     Message::Control { words } => {
-                        let span = words.strip_prefix("down ").and_then(|ms| ms.parse::<u64>().ok());
-                        let wrong = match span {
+                        let duration = words.strip_prefix("down ").and_then(|ms| ms.parse::<u64>().ok());
+                        let wrong = match duration {
                             Some(ms) => {
                                 self.stopped_until = now + ms * 1_000;
-                                for (_, connection, number) in std::mem::take(&mut self.due) {
+                                for (_, connection, number) in std::mem::take(&mut self.fetches) {
                                     let lost = Message::Fetched { number, there: false };
                                     self.hub.send(connection, &lost, None);
                                 }
@@ -84,9 +85,10 @@
                 }
             }
             let now = self.hub.clock().now();
-            while let Some((_, connection, number)) = self.due.first().filter(|(at, ..)| *at <= now).copied()
+            while let Some((_, connection, number)) =
+                self.fetches.first().filter(|(at, ..)| *at <= now).copied()
             {
-                self.due.pop_first();
+                self.fetches.pop_first();
                 self.hub.send(connection, &Message::Fetched { number, there: true }, None);
             }
         }
--- a/crates/standins/src/worker.rs
+++ b/crates/standins/src/worker.rs
@@ -1,4 +1,4 @@
-//! A worker on sockets: the model behind the main protocol, with faults on command.
+//! A simulated worker process: the worker model behind the main protocol, with faults on command.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::io;
@@ -19,13 +19,13 @@
 /// Settings of a worker process.
 #[derive(Clone, Debug)]
 pub struct WorkerSettings {
-    /// Its id on the list; empty: its address.
+    /// Its id in the worker list; if empty, its address.
     pub id: String,
-    /// Where it listens.
+    /// The address to listen on.
     pub listen: SocketAddr,
-    /// The list that it registers with.
+    /// The worker list service that it registers with.
     pub list: Option<SocketAddr>,
-    /// The store that it fetches from; none: a fetch just takes its time.
+    /// The store that it fetches images from; without one a fetch only takes time.
     pub store: Option<SocketAddr>,
     /// Its zone.
     pub zone: String,
@@ -33,15 +33,15 @@
     pub kind: String,
     /// Its cell.
     pub cell: u64,
-    /// It is treated as started long ago: warm from the first call on.
+    /// It has full capacity from the first call on, as if started long ago.
     pub warm: bool,
-    /// The model.
+    /// The properties of the model.
     pub profile: Profile,
-    /// Where records go.
+    /// The folder for records.
     pub records: Option<PathBuf>,
 }
 
-/// A call of a gateway that the model has.
+/// An attempt that the model has not ended yet.
 struct PendingAttempt {
     connection: Connection,
     attempt: u64,
@@ -50,7 +50,8 @@
     function: String,
 }
 
-/// The digest that a worker reports for a function. A stand-in hashes the function's name, since it has no code.
+/// The digest that a worker reports for a function: the hash of its name, since a simulated function has no
+/// code.
 pub fn digest(function: &str) -> String {
     let bytes = Sha256::digest(function.as_bytes());
     let hex = bytes.iter().map(|byte| format!("{byte:02x}"));
@@ -68,27 +69,28 @@
     rng: Pcg32,
     faults: Faults,
     draining: bool,
+    /// Pause that begins with the next loop iteration, in milliseconds.
     paused: Option<u64>,
-    /// Gateways by connection: name and zone.
+    /// Name and zone of the gateway by connection.
     gateways: HashMap<Connection, (String, String)>,
     list: Option<Connection>,
     list_retry: Option<Micros>,
     store: Option<Connection>,
     fetches: BTreeMap<u64, String>,
     local_fetches: BTreeSet<(Micros, u64)>,
-    jobs: HashMap<u64, PendingAttempt>,
+    pending_attempts: HashMap<u64, PendingAttempt>,
     orders: HashMap<u64, (Connection, u64)>,
     next: u64,
-    /// As last recorded, in MB.
+    /// Memory use as last recorded, in MB.
     memory: u32,
     effects: Vec<Effect>,
 }
 
-const CONNECT_WITHIN: Micros = 500_000;
-const RETRY: Micros = 100_000;
+const CONNECT_TIMEOUT: Micros = 500_000;
+const LIST_RETRY_DELAY: Micros = 100_000;
 
 impl Worker {
-    /// Listens.
+    /// Starts listening.
     pub fn start(mut settings: WorkerSettings) -> io::Result<Self> {
         let limits = HubLimits { out: 256 << 20, ..HubLimits::default() };
         let mut hub = Hub::new(limits)?;
@@ -128,7 +130,7 @@
             store: None,
             fetches: BTreeMap::new(),
             local_fetches: BTreeSet::new(),
-            jobs: HashMap::new(),
+            pending_attempts: HashMap::new(),
             orders: HashMap::new(),
             next: 0,
             memory: 0,
@@ -137,7 +139,7 @@
         })
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -153,7 +155,8 @@
             if std::mem::replace(&mut self.memory, mb) != mb {
                 self.recorder.write(now, RecordedEvent::Memory { mb });
             }
-            // Records are with the kernel before an answer is: a kill can't take them.
+            // Records reach the kernel before the answers, so that a kill doesn't lose the record of a sent
+            // answer.
             self.recorder.flush();
             self.hub.wait(due.into_iter().flatten().min())?;
             if let Some(ms) = self.paused.take() {
@@ -174,10 +177,10 @@
         self.model.slowness = self.faults.slowness(now);
         self.model.fail = self.faults.share(now, "fail");
         self.model.load_fail = self.faults.share(now, "load-fail");
-        self.model.refusing = self.draining || self.faults.get(now, "refuse").is_some();
+        self.model.rejecting = self.draining || self.faults.get(now, "refuse").is_some();
         while let Some((_, fetch)) = self.local_fetches.first().filter(|(at, _)| *at <= now).copied() {
             self.local_fetches.pop_first();
-            self.fetched(fetch, true);
+            self.fetch_ended(fetch, true);
         }
         if self.list_retry.is_some_and(|at| at <= now) {
             self.list_retry = None;
@@ -191,7 +194,7 @@
 
     fn register(&mut self) {
         let Some(at) = self.settings.list else { return };
-        let list = self.hub.connect(at, Wire::Frames, CONNECT_WITHIN);
+        let list = self.hub.connect(at, Wire::Frames, CONNECT_TIMEOUT);
         self.list = Some(list);
         let hello = self.hello();
         self.hub.send(list, &hello, None);
@@ -212,7 +215,7 @@
         Message::Hello { role: Role::Worker, name, zone }
     }
 
-    /// Handles a notice; false: end the process.
+    /// Handles a notice. Returns false when the process is to end.
     fn notice(&mut self, notice: Notice) -> bool {
         match notice {
             Notice::Message(connection, message) => return self.message(connection, message),
@@ -220,12 +223,12 @@
                 self.gateways.remove(&connection);
                 if self.list == Some(connection) {
                     self.list = None;
-                    self.list_retry = Some(self.hub.clock().now() + RETRY);
+                    self.list_retry = Some(self.hub.clock().now() + LIST_RETRY_DELAY);
                 }
                 if self.store == Some(connection) {
                     self.store = None;
                     for fetch in std::mem::take(&mut self.fetches).into_keys().collect::<Vec<_>>() {
-                        self.fetched(fetch, false);
+                        self.fetch_ended(fetch, false);
                     }
                 }
             }
@@ -259,15 +262,16 @@
                     return true;
                 }
                 self.next += 1;
-                let out = PendingAttempt { connection, attempt, trace, class, function: function.clone() };
-                self.jobs.insert(self.next, out);
+                let pending =
+                    PendingAttempt { connection, attempt, trace, class, function: function.clone() };
+                self.pending_attempts.insert(self.next, pending);
                 let job = Job { number: self.next, function, shape, deadline: now.saturating_add(time_left) };
                 self.model.run(now, job, &mut self.effects);
             }
             Message::CancelRun { attempt } => {
                 let here =
                     |(_, o): &(&u64, &PendingAttempt)| o.connection == connection && o.attempt == attempt;
-                if let Some(number) = self.jobs.iter().find(here).map(|(number, _)| *number) {
+                if let Some(number) = self.pending_attempts.iter().find(here).map(|(number, _)| *number) {
                     self.model.cancel(number, &mut self.effects);
                 }
             }
@@ -286,7 +290,7 @@
                 let (held, queued) = self.model.in_flight();
                 self.hub.send(connection, &Message::Probed { number, held, queued }, None);
             }
-            Message::Fetched { number, there } => self.fetched(number, there),
+            Message::Fetched { number, there } => self.fetch_ended(number, there),
             Message::Control { words } => return self.control(connection, &words),
             _ => {}
         }
@@ -303,13 +307,14 @@
             "flush" => self.model.flush(),
             "drain" | "undrain" => {
                 self.draining = words == "drain";
-                // The list hears it from the worker itself, as it would from a deploy.
-                self.list.take().into_iter().for_each(|list| self.hub.close(list, "registers anew"));
+                // Registers again with the new state, as a worker does in a deployment.
+                self.list.take().into_iter().for_each(|list| self.hub.close(list, "registers again"));
                 self.list_retry = None;
                 self.register();
             }
             _ => match words.strip_prefix("pause ").map(str::parse::<u64>) {
-                // The whole process stands still, as under a collector or a frozen disk; sockets fill meanwhile.
+                // Pauses the whole process, as a garbage collector or a frozen disk does; sockets fill
+                // meanwhile.
                 Some(Ok(ms)) if ms <= 10_000 => {
                     self.hub.send(connection, &Message::Controlled { wrong }, None);
                     self.paused = Some(ms);
@@ -323,14 +328,14 @@
         true
     }
 
-    fn fetched(&mut self, fetch: u64, there: bool) {
+    fn fetch_ended(&mut self, fetch: u64, there: bool) {
         if let Some(name) = self.fetches.remove(&fetch) {
             self.model.fetched(self.hub.clock().now(), &name, there, &mut self.effects);
             self.apply_effects();
         }
     }
 
-    /// A random number from 0 up to 1.
+    /// A uniform random number in [0, 1).
     fn uniform(&mut self) -> f64 {
         uniform(&mut self.rng)
     }
@@ -340,64 +345,67 @@
             let now = self.hub.clock().now();
             match effect {
                 Effect::Began(number) => {
-                    if let Some(out) = self.jobs.get(&number) {
-                        let (trace, class) = (out.trace.clone(), out.class.clone());
+                    if let Some(pending) = self.pending_attempts.get(&number) {
+                        let (trace, class) = (pending.trace.clone(), pending.class.clone());
                         self.recorder.write(now, RecordedEvent::Began { trace, class });
                     }
                 }
-                Effect::Ended(number, ending, crowd) => self.ended(now, number, ending, crowd),
-                Effect::Held(number, ending, standing) => {
+                Effect::Ended(number, ending, in_flight) => {
+                    self.answer_attempt(now, number, ending, in_flight)
+                }
+                Effect::Held(number, ending, loaded) => {
                     if let Some((connection, order)) = self.orders.remove(&number)
-                        && !self.cut_off(now, connection)
+                        && !self.is_cut_off(now, connection)
                     {
-                        self.hub.send(connection, &Message::Held { order, ending, standing }, None);
+                        self.hub.send(connection, &Message::Held { order, ending, standing: loaded }, None);
                     }
                 }
                 Effect::Fetch(name, time) => self.fetch(now, name, time),
                 Effect::Fell(sent, bearable) => {
-                    tracing::warn!(sent, bearable, "pushed over");
+                    tracing::warn!(sent, bearable, "collapsed under overload while cold");
                     self.recorder.write(now, RecordedEvent::Fell { sent, bearable });
                 }
             }
         }
     }
 
-    fn cut_off(&self, now: Micros, connection: Connection) -> bool {
+    fn is_cut_off(&self, now: Micros, connection: Connection) -> bool {
         self.gateways.get(&connection).is_some_and(|(_, zone)| self.faults.cuts(now, zone))
             || self.faults.get(now, "hang").is_some()
     }
 
-    fn ended(&mut self, now: Micros, number: u64, ending: Ending, crowd: u32) {
-        let Some(PendingAttempt { connection, attempt, trace, class, function }) = self.jobs.remove(&number)
+    fn answer_attempt(&mut self, now: Micros, number: u64, ending: Ending, in_flight: u32) {
+        let Some(PendingAttempt { connection, attempt, trace, class, function }) =
+            self.pending_attempts.remove(&number)
         else {
             return;
         };
         let bad = self.faults.version_share(now, &function);
         let ending =
             if ending == Ending::Ok && bad > 0.0 && self.uniform() < bad { Ending::Error } else { ending };
-        // One that holds other bytes under the name says whose they are.
+        // A worker with another function's image under this name reports that image's digest.
         let image = self.faults.swapped(now, &function).unwrap_or(&function).to_owned();
         let (lose, reset, twice) = (
             self.faults.share(now, "lose"),
             self.faults.share(now, "reset"),
             self.faults.share(now, "twice"),
         );
-        // Draws only where a fault is in force: without one the run is not disturbed.
+        // Draws random numbers only while a fault is active, so that other runs stay reproducible.
         let lose = lose.max(self.faults.class_share(now, &class));
-        let lost = self.cut_off(now, connection) || (lose > 0.0 && self.uniform() < lose);
+        let lost = self.is_cut_off(now, connection) || (lose > 0.0 && self.uniform() < lose);
         let breaks = !lost && reset > 0.0 && self.uniform() < reset;
         let word = ending.word().into();
         let ran = RecordedEvent::Ran { trace, ending: word, lost: lost || breaks, image: image.clone() };
         self.recorder.write(now, ran);
         if breaks {
-            return self.hub.close(connection, "reset on purpose");
+            return self.hub.close(connection, "injected connection reset");
         }
         if lost {
             return;
         }
         let body = self.settings.id.clone().into_bytes();
         let origin = Some(Origin { function, digest: digest(&image) });
-        let answer = Message::Ran { attempt, ending, crowd, body, origin };
+        let answer = Message::Ran { attempt, ending, crowd: in_flight, body, origin };
         self.hub.send(connection, &answer, None);
         if twice > 0.0 && self.uniform() < twice {
             self.hub.send(connection, &answer, None);
@@ -420,7 +428,7 @@
         let store = match self.store {
             Some(store) => store,
             None => {
-                let store = self.hub.connect(at, Wire::Frames, CONNECT_WITHIN);
+                let store = self.hub.connect(at, Wire::Frames, CONNECT_TIMEOUT);
                 let hello = self.hello();
                 self.hub.send(store, &hello, None);
                 self.store = Some(store);
--- a/crates/standins/src/worker_model/calls.rs
+++ b/crates/standins/src/worker_model/calls.rs
@@ -1,4 +1,4 @@
-//! Calls: accepted, rejected, cancelled, started.
+//! Calls: accepting, rejecting, canceling and starting.
 
 use cresswheel_protocol::Ending;
 
@@ -14,7 +14,7 @@
         let function = self.functions.entry(job.function.clone()).or_default();
         function.shape = Some(job.shape.clone());
         let in_flight = function.in_flight();
-        if let Some(ending) = self.refusal(&job.function) {
+        if let Some(ending) = self.rejection(&job.function) {
             return out.push(Effect::Ended(job.number, ending, in_flight));
         }
         let name = job.function.clone();
@@ -25,10 +25,10 @@
         self.start_fetches(out);
     }
 
-    /// How a call of this function ends at once, if it is not accepted. Queues the load of an absent function.
-    fn refusal(&mut self, name: &str) -> Option<Ending> {
+    /// The ending of a call that can't be accepted. Queues a load if the function has no instance.
+    fn rejection(&mut self, name: &str) -> Option<Ending> {
         let is_present = self.functions.get(name).is_some_and(|f| f.loaded + f.loading > 0);
-        if self.refusing || self.fallen {
+        if self.rejecting || self.collapsed {
             return Some(Ending::Full);
         }
         if self.fail > 0.0 && self.uniform() < self.fail {
@@ -44,7 +44,7 @@
         (waiting as usize >= self.profile.queue).then_some(Ending::Full)
     }
 
-    /// Cancels a waiting call; running ones go on.
+    /// Cancels a waiting call; a running call is not interrupted.
     pub fn cancel(&mut self, number: u64, out: &mut Vec<Effect>) {
         for function in self.functions.values_mut() {
             if let Some(at) = function.waiting.iter().position(|waiting| waiting.job.number == number)
@@ -55,45 +55,46 @@
         }
     }
 
-    /// Starts waiting calls of a function while lanes are free.
+    /// Starts waiting calls of a function while its loaded instances have free concurrency.
     pub(super) fn start_waiting(&mut self, now: u64, name: &str, out: &mut Vec<Effect>) {
         loop {
             let Some(function) = self.functions.get_mut(name) else { return };
-            if function.running >= function.loaded * function.lanes() {
+            if function.running >= function.loaded * function.concurrency() {
                 return;
             }
             let Some(accepted) = function.waiting.pop_front() else { return };
             let number = accepted.job.number;
             if accepted.job.deadline <= now {
-                // Past the client's deadline: answered as not run.
+                // Past the client's deadline: answered without a run.
                 out.push(Effect::Ended(number, Ending::Full, accepted.in_flight));
                 continue;
             }
             function.running += 1;
-            let took = self.draw_duration(now, Self::work(&accepted.job.shape));
-            self.running.insert((now + took, number));
+            let duration = self.draw_duration(now, Self::work(&accepted.job.shape));
+            self.running.insert((now + duration, number));
             out.push(Effect::Began(number));
             self.jobs.insert(number, accepted);
         }
     }
 
-    /// How long a call takes that starts now: exponential work, shared cores, what is left of the capacity.
+    /// Draws how long a call takes that starts now: exponentially distributed work on shared cores, slowed
+    /// down by the capacity that a cold worker lacks and by the fault 'slow'.
     fn draw_duration(&mut self, now: u64, work: u64) -> u64 {
-        let drawn = -(1.0 - self.uniform()).ln();
-        let shared = ((self.running.len() + 1) as f64 / f64::from(self.profile.cores)).max(1.0);
-        let pace = self.profile.speed * self.capacity(now) / self.slowness;
-        let took = work as f64 * drawn * shared / pace.max(1e-3);
-        (took as u64).max(1)
+        let draw = -(1.0 - self.uniform()).ln();
+        let contention = ((self.running.len() + 1) as f64 / f64::from(self.profile.cores)).max(1.0);
+        let speed = self.profile.speed * self.capacity(now) / self.slowness;
+        let duration = work as f64 * draw * contention / speed.max(1e-3);
+        (duration as u64).max(1)
     }
 
-    /// Counts work against the capacity of a cold worker.
+    /// Adds work to the load of a cold worker, which may make it collapse.
     fn add_work(&mut self, now: u64, work: u64, out: &mut Vec<Effect>) {
-        if self.fallen {
+        if self.collapsed {
             return;
         }
-        if let Some(Overload { sent, bearable }) = self.cold_start.add(now, work) {
-            self.fallen = true;
-            out.push(Effect::Fell(sent, bearable));
+        if let Some(Overload { sent, limit }) = self.cold_start.add(now, work) {
+            self.collapsed = true;
+            out.push(Effect::Fell(sent, limit));
         }
     }
 }
--- a/crates/standins/src/worker_model/cold_start.rs
+++ b/crates/standins/src/worker_model/cold_start.rs
@@ -12,13 +12,13 @@
     work: u64,
 }
 
-/// More work than a cold worker can take, in core-microseconds.
+/// Work beyond the limit of a cold worker, in core-microseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Overload {
     /// Sent within the window.
     pub sent: u64,
-    /// What it could have taken.
-    pub bearable: u64,
+    /// Work that it could have handled in the window.
+    pub limit: u64,
 }
 
 /// The capacity of a worker since its start.
@@ -28,13 +28,13 @@
     warm_up: u64,
     fall_multiple: f64,
     fall_window: u64,
-    /// Capacity of a warm one, in cores of standard speed.
+    /// Capacity when warm, in cores of standard speed.
     power: f64,
     arrivals: VecDeque<Arrival>,
 }
 
 impl ColdStart {
-    /// A worker that started then.
+    /// The capacity of a worker with this start time.
     pub fn new(profile: &Profile, started: u64) -> Self {
         Self {
             started,
@@ -47,13 +47,13 @@
         }
     }
 
-    /// The share of its capacity that it has at a time.
+    /// The share of its warm capacity that it has at a time.
     pub fn capacity(&self, at: u64) -> f64 {
-        let age = at.saturating_sub(self.started) as f64 / self.warm_up.max(1) as f64;
-        (self.cold_from + (1.0 - self.cold_from) * age).min(1.0)
+        let warm_share = at.saturating_sub(self.started) as f64 / self.warm_up.max(1) as f64;
+        (self.cold_from + (1.0 - self.cold_from) * warm_share).min(1.0)
     }
 
-    /// Adds work that was sent now; returns the overload, if it is more than the worker can take.
+    /// Adds work that was sent now; returns the overload if the work exceeds the worker's limit.
     pub fn add(&mut self, now: u64, work: u64) -> Option<Overload> {
         let window = self.fall_window;
         let capacity = self.capacity(now);
@@ -65,7 +65,7 @@
             self.arrivals.pop_front();
         }
         let sent: u64 = self.arrivals.iter().map(|arrival| arrival.work).sum();
-        let bearable = self.fall_multiple * capacity * window as f64 * self.power;
-        (sent as f64 > bearable).then_some(Overload { sent, bearable: bearable as u64 })
+        let limit = self.fall_multiple * capacity * window as f64 * self.power;
+        (sent as f64 > limit).then_some(Overload { sent, limit: limit as u64 })
     }
 }
--- a/crates/standins/src/worker_model/function.rs
+++ b/crates/standins/src/worker_model/function.rs
@@ -1,4 +1,4 @@
-//! One function at a worker.
+//! A function at a worker: its instances, calls and orders.
 
 use std::collections::VecDeque;
 
@@ -6,18 +6,18 @@
 
 use super::Job;
 
-/// Default time of a load, in microseconds.
-const USUAL_LOAD: u64 = 500_000;
+/// Load time of a function without a known one.
+const DEFAULT_LOAD_US: u64 = 500_000;
 
-/// A call that was accepted.
+/// An accepted call that has not ended.
 #[derive(Debug)]
 pub struct AcceptedJob {
     pub job: Job,
-    /// Calls of its function that were in flight when it came.
+    /// Calls of its function that were in flight when it arrived.
     pub in_flight: u32,
 }
 
-/// An order that waits for its instances.
+/// A prewarm order that waits for instances to load.
 #[derive(Debug)]
 pub struct Order {
     pub number: u64,
@@ -29,20 +29,20 @@
 #[derive(Debug, Default)]
 pub struct Function {
     pub shape: Option<Shape>,
-    /// Instances that are loaded.
+    /// Loaded instances.
     pub loaded: u32,
-    /// Fetches and starts under way.
+    /// Instances that are being fetched or started.
     pub loading: u32,
     pub running: u32,
-    /// When a call or an order was here last.
+    /// When the last call ended, the last order arrived or the last load ended.
     pub idle_since: u64,
     pub waiting: VecDeque<AcceptedJob>,
     pub orders: Vec<Order>,
 }
 
 impl Function {
-    /// Calls that one instance runs at a time.
-    pub fn lanes(&self) -> u32 {
+    /// Calls that one instance runs concurrently.
+    pub fn concurrency(&self) -> u32 {
         self.shape.as_ref().map_or(1, |s| s.lanes.max(1))
     }
 
@@ -51,9 +51,9 @@
         self.shape.as_ref().map_or(0, |s| s.memory_mb)
     }
 
-    /// Instances that run calls.
+    /// Instances needed for the running calls.
     pub fn busy_instances(&self) -> u32 {
-        self.running.div_ceil(self.lanes())
+        self.running.div_ceil(self.concurrency())
     }
 
     /// Calls that run or wait.
@@ -61,10 +61,10 @@
         self.running + self.waiting.len() as u32
     }
 
-    /// Usual time of a load, in microseconds.
+    /// Expected load time, in microseconds.
     pub fn load_time(&self) -> u64 {
-        let told = self.shape.as_ref().map_or(0, |shape| shape.load_time);
-        if told > 0 { told } else { USUAL_LOAD }
+        let known = self.shape.as_ref().map_or(0, |shape| shape.load_time);
+        if known > 0 { known } else { DEFAULT_LOAD_US }
     }
 
     /// Whether an instance could be unloaded.
--- a/crates/standins/src/worker_model/loads.rs
+++ b/crates/standins/src/worker_model/loads.rs
@@ -1,15 +1,15 @@
-//! Loads: orders, fetches, room in memory.
+//! Loads: prewarm orders, fetches and memory.
 
 use cresswheel_protocol::{Ending, Shape};
 
 use super::function::{AcceptedJob, Function, Order};
 use super::{Effect, Model};
 
-/// Most instances of a function that one order may name.
-const MOST_INSTANCES: u32 = 64;
+/// Maximum number of instances in one prewarm order.
+const MAX_INSTANCES: u32 = 64;
 
 impl Model {
-    /// Handles an order to load instances; a count of 0 only asks.
+    /// Handles a prewarm order; a count of 0 only queries the loaded instances.
     pub fn hold(
         &mut self,
         now: u64,
@@ -29,7 +29,7 @@
         if count == 0 || loaded >= count {
             return out.push(Effect::Held(order, Ending::Ok, loaded));
         }
-        if self.refusing || self.fallen || count > MOST_INSTANCES {
+        if self.rejecting || self.collapsed || count > MAX_INSTANCES {
             return out.push(Effect::Held(order, Ending::Full, loaded));
         }
         let missing = count - (loaded + function.loading).min(count);
@@ -51,12 +51,12 @@
         }
     }
 
-    /// Unloads all idle instances, as a new release of all functions does.
+    /// Unloads all idle instances, as happens when all functions are released anew.
     pub fn flush(&mut self) {
         self.functions.values_mut().for_each(Function::unload_idle);
     }
 
-    /// Handles the end of a fetch.
+    /// Handles the end of a fetch; `there`: the store has the image.
     pub fn fetched(&mut self, now: u64, name: &str, there: bool, out: &mut Vec<Effect>) {
         self.pass(now, out);
         self.fetching = self.fetching.saturating_sub(1);
@@ -70,12 +70,12 @@
         self.start_fetches(out);
     }
 
-    /// Usual time of a load, in microseconds.
+    /// Expected load time of a function, in microseconds.
     fn load_time(&self, name: &str) -> u64 {
         self.functions.get(name).map_or_else(|| Function::default().load_time(), Function::load_time)
     }
 
-    /// Makes room and queues a load; false: there is no room.
+    /// Frees memory and queues a load. Returns false if there is not enough memory or too many loads wait.
     pub(super) fn begin_load(&mut self, name: &str) -> bool {
         let waiting = self.loads_waiting.len();
         let wanted = self.functions.get(name).map_or(0, Function::memory);
@@ -92,7 +92,8 @@
         true
     }
 
-    /// Unloads an instance of another function; false: none is idle.
+    /// Unloads an instance of the function that was idle longest, other than `except`. Returns false if none
+    /// is idle.
     fn unload_longest_idle(&mut self, except: &str) -> bool {
         let idle =
             self.functions.iter_mut().filter(|(name, function)| *name != except && function.has_idle());
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Starts waiting fetches while there are few enough.
+    /// Starts waiting fetches up to the limit of concurrent loads.
     pub(super) fn start_fetches(&mut self, out: &mut Vec<Effect>) {
         while self.fetching < self.profile.loads
             && let Some(name) = self.loads_waiting.pop_front()
@@ -116,14 +117,14 @@
         }
     }
 
-    /// Ends orders that can no longer be met, and calls that no instance will serve.
+    /// Ends orders that can no longer be fulfilled, and calls that no instance will serve.
     fn load_failed(&mut self, name: &str, out: &mut Vec<Effect>) {
         let Some(function) = self.functions.get_mut(name) else { return };
         function.loading -= 1;
         let loaded = function.loaded;
         let expected = loaded + function.loading;
-        let lost = function.orders.extract_if(.., |order| order.count > expected);
-        out.extend(lost.map(|order| Effect::Held(order.number, Ending::LoadFailed, loaded)));
+        let failed = function.orders.extract_if(.., |order| order.count > expected);
+        out.extend(failed.map(|order| Effect::Held(order.number, Ending::LoadFailed, loaded)));
         if expected == 0 {
             let waiting = function.waiting.drain(..);
             let ended =
--- a/crates/standins/src/worker_model/mod.rs
+++ b/crates/standins/src/worker_model/mod.rs
@@ -1,5 +1,5 @@
-//! What a worker does, without sockets and clock: instances, lanes, queue, memory, loads, keep-alive, a cold
-//! start that can be overloaded.
+//! Model of a worker without sockets or a clock: instances and their concurrency, queue, memory, loads,
+//! keep-alive, and a cold start during which it can be overloaded.
 
 mod calls;
 mod cold_start;
@@ -21,11 +21,11 @@
 /// A call at a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Job {
-    /// Names it; chosen by the caller, used once.
+    /// Unique number, chosen by the caller.
     pub number: u64,
     /// The function.
     pub function: String,
-    /// What is known of the function.
+    /// Memory, concurrency, load time and work of the function.
     pub shape: Shape,
     /// The client's deadline.
     pub deadline: u64,
@@ -34,50 +34,50 @@
 /// Something that the model did, for its caller to carry out or to answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// A call began to run.
+    /// A call started to run.
     Began(u64),
-    /// A call ended, with the calls of its function in flight when it came.
+    /// A call ended. The last value is the calls of its function in flight when it arrived.
     Ended(u64, Ending, u32),
-    /// An order ended, with the instances that are loaded.
+    /// A prewarm order ended. The last value is the loaded instances.
     Held(u64, Ending, u32),
-    /// A load begins: fetch the function's image, which takes this long on an idle store.
+    /// A load started: the caller fetches the function's image, which takes this long from an idle store.
     Fetch(String, u64),
-    /// It was overloaded while cold: work sent within the window, and the capacity of that time.
+    /// The worker collapsed under overload while cold: work sent within the window, and its limit.
     Fell(u64, u64),
 }
 
-/// Default work of a call, in microseconds.
-const USUAL_WORK: u64 = 20_000;
+/// Work of a call whose function has no known one.
+const DEFAULT_WORK_US: u64 = 20_000;
 
-/// A worker, without sockets and clock.
+/// The state of a simulated worker.
 pub struct Model {
     profile: Profile,
     cold_start: ColdStart,
     rng: Pcg32,
     functions: BTreeMap<String, Function>,
-    /// Calls that run: when each ends.
+    /// Running calls by the time when each ends.
     running: BTreeSet<(u64, u64)>,
     jobs: BTreeMap<u64, AcceptedJob>,
-    /// Loads whose image is there: when each ends.
+    /// Loads whose image was fetched, by the time when each ends.
     starts: BTreeSet<(u64, String)>,
-    /// Functions whose image is still to be fetched.
+    /// Functions of loads whose fetch has not started.
     loads_waiting: VecDeque<String>,
-    /// Fetches under way.
+    /// Fetches in progress.
     fetching: usize,
-    /// It collapsed under overload and does nothing more.
-    pub fallen: bool,
+    /// It collapsed under overload and rejects all calls and orders.
+    pub collapsed: bool,
     /// New calls and orders are rejected.
-    pub refusing: bool,
-    /// Everything takes so many times as long.
+    pub rejecting: bool,
+    /// Factor by which calls and loads are slowed down.
     pub slowness: f64,
-    /// This share of the calls fails at once.
+    /// This share of the calls fails immediately.
     pub fail: f64,
     /// This share of the loads fails.
     pub load_fail: f64,
 }
 
 impl Model {
-    /// A worker that starts now: empty, and cold unless it `started` long ago.
+    /// A worker without instances; how cold it is follows from the time when it `started`.
     pub fn new(profile: Profile, started: u64) -> Self {
         Self {
             rng: Pcg32::new(profile.seed, 0x1405),
@@ -89,30 +89,30 @@
             starts: BTreeSet::new(),
             loads_waiting: VecDeque::new(),
             fetching: 0,
-            fallen: false,
-            refusing: false,
+            collapsed: false,
+            rejecting: false,
             slowness: 1.0,
             fail: 0.0,
             load_fail: 0.0,
         }
     }
 
-    /// A random number from 0 up to 1.
+    /// A uniform random number in [0, 1).
     fn uniform(&mut self) -> f64 {
         uniform(&mut self.rng)
     }
 
-    /// The share of its capacity that it has at a time.
+    /// The share of its warm capacity that it has at a time.
     pub fn capacity(&self, at: u64) -> f64 {
         self.cold_start.capacity(at)
     }
 
-    /// What a call of this shape takes of one standard core, on average.
+    /// Average time of a call of this shape on one standard core, in microseconds.
     pub fn work(shape: &Shape) -> u64 {
-        if shape.work > 0 { shape.work } else { USUAL_WORK }
+        if shape.work > 0 { shape.work } else { DEFAULT_WORK_US }
     }
 
-    /// Calls in flight, and those among them that wait.
+    /// Calls in flight, and how many of them wait.
     pub fn in_flight(&self) -> (u32, u32) {
         let waiting: usize = self.functions.values().map(|f| f.waiting.len()).sum();
         ((self.running.len() + waiting) as u32, waiting as u32)
@@ -123,7 +123,7 @@
         self.functions.values().map(|f| (f.loaded + f.loading) * f.memory()).sum()
     }
 
-    /// When [`Model::pass`] is wanted next.
+    /// When [`Model::pass`] has to be called next.
     pub fn next(&self) -> Option<u64> {
         let runs = self.running.first().map(|(at, _)| *at);
         let starts = self.starts.first().map(|(at, _)| *at);
--- a/crates/standins/src/worker_model/profile.rs
+++ b/crates/standins/src/worker_model/profile.rs
@@ -1,38 +1,38 @@
-//! What kind of worker is modelled.
+//! Properties of a simulated worker.
 
 /// Properties of a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Profile {
     /// Cores.
     pub cores: u32,
-    /// Speed of a core against the standard one.
+    /// Speed of a core relative to a standard core.
     pub speed: f64,
     /// Memory, in MB.
     pub memory_mb: u32,
-    /// Calls that may wait.
+    /// Maximum number of waiting calls.
     pub queue: usize,
-    /// Loads that run at a time; twice as many may wait.
+    /// Concurrent loads; twice as many may wait.
     pub loads: usize,
     /// How long an idle instance stays loaded, in microseconds.
     pub keep_alive: u64,
-    /// A call of an absent function loads it and waits; otherwise it is answered 'miss'.
+    /// A call of a function without an instance loads one and waits; otherwise it is answered with 'miss'.
     pub load_on_call: bool,
-    /// The share of its capacity that it begins with.
+    /// The share of its warm capacity that it starts with.
     pub cold_from: f64,
-    /// Until it has all of it, in microseconds.
+    /// Time from its start until it has its full capacity, in microseconds.
     pub warm_up: u64,
-    /// While cold it collapses when it is sent more than this multiple of its present capacity ...
+    /// While cold it collapses when it is sent more than this multiple of its current capacity ...
     pub fall_multiple: f64,
-    /// ... over this time, in microseconds; 0: never.
+    /// ... within this window, in microseconds; 0: never.
     pub fall_window: u64,
-    /// Part of a load that is the fetch from the store.
+    /// The share of the load time that the fetch from the store takes.
     pub fetch_share: f64,
     /// Seed of its random draws.
     pub seed: u64,
 }
 
 impl Default for Profile {
-    /// A standard worker of 4 cores that takes orders.
+    /// A standard worker with 4 cores that loads functions only on prewarm orders.
     fn default() -> Self {
         Self {
             cores: 4,
--- a/crates/standins/src/worker_model/timers.rs
+++ b/crates/standins/src/worker_model/timers.rs
@@ -6,7 +6,7 @@
 use super::{Effect, Model};
 
 impl Model {
-    /// Advances the model to a time.
+    /// Advances the model to the time `now`.
     pub fn pass(&mut self, now: u64, out: &mut Vec<Effect>) {
         while let Some((at, number)) = self.running.first().filter(|(at, _)| *at <= now).copied() {
             self.running.pop_first();
@@ -40,8 +40,8 @@
             function.loaded += 1;
             function.idle_since = at;
             let loaded = function.loaded;
-            let met = function.orders.extract_if(.., |order| order.count <= loaded);
-            out.extend(met.map(|order| Effect::Held(order.number, Ending::Ok, loaded)));
+            let fulfilled = function.orders.extract_if(.., |order| order.count <= loaded);
+            out.extend(fulfilled.map(|order| Effect::Held(order.number, Ending::Ok, loaded)));
         }
         self.start_waiting(at, name, out);
     }
--- a/crates/standins/tests/faults.rs
+++ b/crates/standins/tests/faults.rs
@@ -1,9 +1,9 @@
-//! Fault commands: how they are read, and for how long they hold.
+//! Fault commands: parsing and duration.
 
 use cresswheel_standins::Faults;
 
 #[test]
-fn faults_hold_for_their_time_and_wrong_words_are_named() {
+fn faults_end_after_their_duration_and_errors_name_the_command() {
     let mut faults = Faults::default();
     faults.begin(1_000, "lose 0.3 10").unwrap();
     faults.begin(1_000, "cut b 5").unwrap();
