--- a/crates/settings/src/plan.rs
+++ b/crates/settings/src/plan.rs
@@ -50,7 +50,7 @@
         match kind.as_str() {
             "shift" => read_shift(&mut fields, &mut plan),
             "step" => plan.steps.extend(read_step(&mut fields)),
-            _ => read_guard(&mut fields, &mut plan.guard),
+            _ => self::read_guard(&mut fields, &mut plan.guard),
         }
         fields.finish();
     }
--- a/crates/settings/src/raw.rs
+++ b/crates/settings/src/raw.rs
@@ -69,6 +69,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Section {
     pub kind: String,
+    #[serde(rename = "place")]
     pub location: Location,
     pub fields: Vec<(String, RawValue, Location)>,
 }
--- a/crates/standins/src/records.rs
+++ b/crates/standins/src/records.rs
@@ -190,7 +190,7 @@
         let record = Record { at, by: self.by.clone(), what };
         let written = serde_json::to_writer(&mut *out, &record).map_err(io::Error::from);
         if let Err(error) = written.and_then(|()| out.write_all(b"\n")) {
-            // The auditor reports missing records, so the run doesn't pass unnoticed.
+            // Logged only: the auditor reports the missing records, so that the run is not judged without them.
             tracing::error!(%error, "a record could not be written");
         }
     }
