--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -18,7 +18,7 @@
 
 impl<'a> Fields<'a> {
     pub fn new(section: Section, errors: &'a mut Vec<SettingsError>) -> Self {
-        let Section { kind, location, fields } = section;
+        let Section { kind, place: location, fields } = section;
         Self { kind, location, fields, known: Vec::new(), errors }
     }
 
--- a/crates/settings/src/gateway.rs
+++ b/crates/settings/src/gateway.rs
@@ -22,7 +22,7 @@
     let mut settings = default_settings();
     let mut seen: Vec<(String, Location)> = Vec::new();
     for section in sections {
-        let (kind, location) = (section.kind.clone(), section.location.clone());
+        let (kind, location) = (section.kind.clone(), section.place.clone());
         let is_unique = !matches!(kind.as_str(), "call_class" | "tenant" | "worker");
         if let Some((_, first)) = seen.iter().find(|(other, _)| *other == kind).filter(|_| is_unique) {
             let message = format!("{kind}: a second one, the first is at {first}");
--- a/crates/settings/src/plan.rs
+++ b/crates/settings/src/plan.rs
@@ -35,7 +35,7 @@
         keep_old: 600 * SECOND,
     };
     for section in sections {
-        let (kind, location) = (section.kind.clone(), section.location.clone());
+        let (kind, location) = (section.kind.clone(), section.place.clone());
         if let Some((_, first)) = seen.iter().find(|(other, _)| *other == kind && kind != "step") {
             let message = format!("{kind}: a second one, the first is at {first}");
             errors.push(SettingsError { location: location.clone(), message });
--- a/crates/settings/src/raw.rs
+++ b/crates/settings/src/raw.rs
@@ -69,7 +69,6 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Section {
     pub kind: String,
-    #[serde(rename = "place")]
-    pub location: Location,
+    pub place: Location,
     pub fields: Vec<(String, RawValue, Location)>,
 }
--- a/crates/settings/src/scale.rs
+++ b/crates/settings/src/scale.rs
@@ -201,7 +201,7 @@
     let mut seen: Vec<(String, Location)> = Vec::new();
     let mut scenario = ScaleScenario::defaults();
     for section in sections {
-        let (kind, location) = (section.kind.clone(), section.location.clone());
+        let (kind, location) = (section.kind.clone(), section.place.clone());
         if let Some((_, first)) = seen.iter().find(|(other, _)| *other == kind) {
             let message = format!("{kind}: a second one, the first is at {first}");
             errors.push(SettingsError { location: location.clone(), message });
--- a/crates/settings/src/script.rs
+++ b/crates/settings/src/script.rs
@@ -171,11 +171,7 @@
         (key, to_raw_value(value, 0), at)
     };
     let fields = fields.iter().map(field).collect();
-    sections.borrow_mut().push(serde_json::to_string(&Section {
-        kind: kind.into(),
-        location: call,
-        fields,
-    })?);
+    sections.borrow_mut().push(serde_json::to_string(&Section { kind: kind.into(), place: call, fields })?);
     Ok(NoneType)
 }
 
