--- a/crates/settings/src/plan.rs
+++ b/crates/settings/src/plan.rs
@@ -94,7 +94,7 @@
     plan.lease = fields.time("lease", plan.lease);
     plan.preload = fields.time("preload", plan.preload);
     plan.keep_old = fields.time("keep_old", plan.keep_old);
-    // Renewing the lease at all gateways takes up to half a second.
+    // A round of messages to all gateways may take half a second.
     fields
         .require(plan.lease == 0 || plan.lease >= 2 * SECOND, "lease must be s(2) at least, or 0 s for none");
 }
