--- a/crates/cli/tests/crossings.rs
+++ b/crates/cli/tests/crossings.rs
@@ -12,107 +12,115 @@
 use std::time::Duration;
 
 use cresswheel_platform_wire::client::{FromGateway, encode_bare};
-use peers::{Client, Directory, Do, F, Host, Node, Played, config, good, host, invokes, request};
+use peers::{
+    Client, Directory, FUNCTION, Gateway, Host, HostAction, ManualHost, answer_ok, config, invoke_count,
+    request_frame, start_host,
+};
 
-const F2: &str = "7f3a9c21e0b4d656";
+const OTHER_FUNCTION: &str = "7f3a9c21e0b4d656";
 /// More than requests are taken for after TERM.
-const TAKEN: Duration = Duration::from_millis(800);
+const AFTER_SHUTDOWN_GRACE: Duration = Duration::from_millis(800);
 
 fn id(number: u32) -> String {
     format!("{number:016x}")
 }
 
-fn one_host(host: &Host, names: &Directory, absent: &str) -> String {
-    config(&[("s-1".to_owned(), host.at)], names.at, absent)
+fn one_host(host: &Host, directory: &Directory, when_absent: &str) -> String {
+    config(&[("s-1".to_owned(), host.address)], directory.address, when_absent)
 }
 
 /// A gateway before one host that the test plays, and a client of it. Its directory says nothing.
-fn played(absent: &str, client: fn(&Node) -> Client) -> (Node, Played, Client) {
-    let (one, names) = (Played::new(), Directory::new(1));
-    let node = Node::with(&one_host(&one.host(), &names, absent));
-    let client = client(&node);
-    (node, one, client)
+fn gateway_and_host(when_absent: &str, client: fn(&Gateway) -> Client) -> (Gateway, ManualHost, Client) {
+    let (host, directory) = (ManualHost::new(), Directory::new(1));
+    let gateway = Gateway::with_config(&one_host(&host.as_host(), &directory, when_absent));
+    let client = client(&gateway);
+    (gateway, host, client)
 }
 
-fn frame_of_leaving(client: &mut Client) {
-    assert_eq!(client.next(), Some(FromGateway::Leaving));
+fn expect_leaving(client: &mut Client) {
+    assert_eq!(client.next_frame(), Some(FromGateway::Leaving));
 }
 
 /// Asks so many times on a connection that is not read, and has each answered with so much.
-fn answered_at_length(node: &Node, one: &mut Played, client: &mut Client, times: u32, length: usize) {
+fn queue_answers(gateway: &Gateway, host: &mut ManualHost, client: &mut Client, times: u32, length: usize) {
     for n in 1..=times {
-        client.ask_as(n, &id(n), "check", "5000");
+        client.send_request_with_id(n, &id(n), "check", "5000");
     }
     for _ in 1..=times {
-        let (line, command) = one.next_of("invoke");
+        let (connection, command) = host.next_command_named("invoke");
         let n = u32::from_str_radix(&command[1], 16).unwrap();
-        one.answer(line, &command[1], "OK", "-", &vec![n as u8; length]);
-        node.logged(&format!("stream={n} status=served"));
+        host.send_answer(connection, &command[1], "OK", "-", &vec![n as u8; length]);
+        gateway.wait_for_log(&format!("stream={n} status=served"));
     }
 }
 
 // Shutdown and start.
 
 #[test]
-fn connections_that_wait_to_be_accepted_as_taking_ends_are_answered() {
-    let (one, names) = (host(good), Directory::new(1));
-    let mut node = Node::new(&[("s-1", &one)], &names, "load");
-    let mut first = node.client();
-    first.ask("check", "3000", 1);
-    assert_eq!(first.answer(), (1, 0));
-    node.signal("-TERM");
-    frame_of_leaving(&mut first);
-    node.freeze();
-    std::thread::sleep(TAKEN);
+fn connections_waiting_to_be_accepted_when_the_shutdown_grace_ends_are_answered() {
+    let (host, directory) = (start_host(answer_ok), Directory::new(1));
+    let mut gateway = Gateway::new(&[("s-1", &host)], &directory, "load");
+    let mut first = gateway.connect();
+    first.send_request("check", "3000", 1);
+    assert_eq!(first.next_answer(), (1, 0));
+    gateway.signal("-TERM");
+    expect_leaving(&mut first);
+    gateway.pause();
+    std::thread::sleep(AFTER_SHUTDOWN_GRACE);
     // More than are accepted in one turn: as the process wakes, the time of taking is over.
-    let mut waiting: Vec<Client> = (0..100).map(|_| node.client()).collect();
-    waiting.iter_mut().enumerate().for_each(|(n, client)| _ = client.ask("check", "3000", 100 + n as u64));
-    node.wake();
+    let mut waiting: Vec<Client> = (0..100).map(|_| gateway.connect()).collect();
+    waiting
+        .iter_mut()
+        .enumerate()
+        .for_each(|(n, client)| _ = client.send_request("check", "3000", 100 + n as u64));
+    gateway.resume();
     for client in &mut waiting {
-        let (stream, code) = client.answer();
+        let (stream, code) = client.next_answer();
         assert!(stream == 1 && matches!(code, 0 | 8), "served or refused, not broken: {code}");
     }
-    assert_eq!(node.ends(), Some(0));
+    assert_eq!(gateway.wait_for_exit(), Some(0));
 }
 
 #[test]
-fn what_is_unread_as_the_last_answer_leaves_is_answered_and_the_end_is_no_reset() {
-    let (mut node, mut one, mut client) = played("load", Node::client);
-    client.ask_as(1, &id(1), "post", "3000");
-    let (line, _) = one.next_of("invoke");
-    node.signal("-TERM");
-    frame_of_leaving(&mut client);
+fn requests_unread_when_the_last_answer_is_sent_are_answered_and_the_connection_closes_without_a_reset() {
+    let (mut gateway, mut host, mut client) = gateway_and_host("load", Gateway::connect);
+    client.send_request_with_id(1, &id(1), "post", "3000");
+    let (connection, _) = host.next_command_named("invoke");
+    gateway.signal("-TERM");
+    expect_leaving(&mut client);
     // The end of taking is past: it is told once more.
-    frame_of_leaving(&mut client);
-    node.freeze();
+    expect_leaving(&mut client);
+    gateway.pause();
     // More than is read in one turn, and the answer that all wait for.
     let many = 2..=60;
-    let all: Vec<u8> =
-        many.clone().flat_map(|n| request(n, &id(n), "check", "3000", F, &[7; 8 << 10])).collect();
-    client.send(&all);
-    one.answer(line, &id(1), "OK", "-", b"out");
-    node.wake();
-    let mut answers: Vec<(u32, u8)> = many.clone().chain([1]).map(|_| client.answer()).collect();
+    let all: Vec<u8> = many
+        .clone()
+        .flat_map(|n| request_frame(n, &id(n), "check", "3000", FUNCTION, &[7; 8 << 10]))
+        .collect();
+    client.send_bytes(&all);
+    host.send_answer(connection, &id(1), "OK", "-", b"out");
+    gateway.resume();
+    let mut answers: Vec<(u32, u8)> = many.clone().chain([1]).map(|_| client.next_answer()).collect();
     answers.sort_unstable();
     let wanted: Vec<(u32, u8)> = [(1, 0)].into_iter().chain(many.map(|n| (n, 8))).collect();
     assert_eq!(answers, wanted);
     let end = client.socket.read(&mut [0]);
     assert!(matches!(end, Ok(0)), "an end in good order: {end:?}");
     drop(client);
-    assert_eq!(node.ends(), Some(0));
+    assert_eq!(gateway.wait_for_exit(), Some(0));
 }
 
 #[test]
-fn a_last_answer_larger_than_the_buffers_reaches_a_client_that_reads_slowly() {
+fn answers_larger_than_the_buffers_reach_a_slow_reader_during_shutdown() {
     const BODY: usize = 200 << 10;
-    let (mut node, mut one, mut client) = played("load", Node::narrow_client);
-    answered_at_length(&node, &mut one, &mut client, 4, BODY);
-    node.signal("-TERM");
-    node.logged("stopping");
+    let (mut gateway, mut host, mut client) = gateway_and_host("load", Gateway::connect_with_small_buffers);
+    queue_answers(&gateway, &mut host, &mut client, 4, BODY);
+    gateway.signal("-TERM");
+    gateway.wait_for_log("stopping");
     // The time of taking and a little more goes by without a byte being read.
-    std::thread::sleep(TAKEN + Duration::from_millis(400));
+    std::thread::sleep(AFTER_SHUTDOWN_GRACE + Duration::from_millis(400));
     let mut whole = 0;
-    while let Some(frame) = client.next() {
+    while let Some(frame) = client.next_frame() {
         if let FromGateway::Answer(n, 0, None, body) = frame {
             assert_eq!(body, vec![n as u8; BODY]);
             whole += 1;
@@ -120,375 +128,378 @@
     }
     assert_eq!(whole, 4);
     drop(client);
-    assert_eq!(node.ends(), Some(0));
+    assert_eq!(gateway.wait_for_exit(), Some(0));
 }
 
 #[test]
-fn term_twice_and_hup_between_change_nothing_about_the_way_to_the_end() {
-    let (mut one, names, later) = (Played::new(), Directory::new(1), Directory::new(1));
-    let mut node = Node::with(&one_host(&one.host(), &names, "load"));
-    let mut client = node.client();
-    client.ask_as(1, &id(1), "post", "3000");
-    let (line, _) = one.next_of("invoke");
-    node.signal("-TERM");
-    frame_of_leaving(&mut client);
-    later.tell(5, &[("s-1", one.at, 0)]);
-    node.configure(&one_host(&one.host(), &later, "load"));
-    node.signal("-HUP");
-    node.logged("list serial=5");
-    node.signal("-TERM");
-    one.answer(line, &id(1), "OK", "-", b"out");
-    assert_eq!(client.answer(), (1, 0));
+fn a_second_term_and_a_hup_in_between_do_not_change_the_shutdown() {
+    let (mut host, directory, new_directory) = (ManualHost::new(), Directory::new(1), Directory::new(1));
+    let mut gateway = Gateway::with_config(&one_host(&host.as_host(), &directory, "load"));
+    let mut client = gateway.connect();
+    client.send_request_with_id(1, &id(1), "post", "3000");
+    let (connection, _) = host.next_command_named("invoke");
+    gateway.signal("-TERM");
+    expect_leaving(&mut client);
+    new_directory.set_hosts(5, &[("s-1", host.address, 0)]);
+    gateway.write_config(&one_host(&host.as_host(), &new_directory, "load"));
+    gateway.signal("-HUP");
+    gateway.wait_for_log("list serial=5");
+    gateway.signal("-TERM");
+    host.send_answer(connection, &id(1), "OK", "-", b"out");
+    assert_eq!(client.next_answer(), (1, 0));
     drop(client);
-    assert_eq!(node.ends(), Some(0));
+    assert_eq!(gateway.wait_for_exit(), Some(0));
 }
 
 #[test]
-fn term_while_the_port_is_waited_for_ends_the_process() {
-    let (one, names) = (host(good), Directory::new(1));
-    let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = taken.local_addr().unwrap().to_string();
-    let mut node = Node::begun(&one_host(&one, &names, "load").replace("127.0.0.1:0", &at));
-    node.logged("list serial=1");
-    node.signal("-TERM");
+fn term_while_waiting_for_the_port_ends_the_process() {
+    let (host, directory) = (start_host(answer_ok), Directory::new(1));
+    let occupied_port = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = occupied_port.local_addr().unwrap().to_string();
+    let mut gateway =
+        Gateway::spawn_with_config(&one_host(&host, &directory, "load").replace("127.0.0.1:0", &address));
+    gateway.wait_for_log("list serial=1");
+    gateway.signal("-TERM");
     // It ends without the port, or stops in good order once it has it: whichever comes first.
-    drop(taken);
-    assert!(matches!(node.ends(), Some(0 | 1)));
+    drop(occupied_port);
+    assert!(matches!(gateway.wait_for_exit(), Some(0 | 1)));
 }
 
 #[test]
-fn term_in_the_first_instants_ends_the_process_and_its_port_is_free() {
-    let (one, names) = (host(good), Directory::new(1));
-    let at = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let config = one_host(&one, &names, "load").replace("127.0.0.1:0", &at.to_string());
+fn term_during_startup_ends_the_process_and_its_port_is_free() {
+    let (host, directory) = (start_host(answer_ok), Directory::new(1));
+    let address = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let config = one_host(&host, &directory, "load").replace("127.0.0.1:0", &address.to_string());
     for ms in 0..20 {
-        let mut node = Node::begun(&config);
+        let mut gateway = Gateway::spawn_with_config(&config);
         std::thread::sleep(Duration::from_millis(ms));
-        node.signal("-TERM");
+        gateway.signal("-TERM");
         // By the signal itself, or in good order once it is taken.
-        assert!(matches!(node.ends(), None | Some(0)), "after {ms} ms");
+        assert!(matches!(gateway.wait_for_exit(), None | Some(0)), "after {ms} ms");
     }
-    let node = Node::with(&config);
-    ten_are_served(&node, "3000");
+    let gateway = Gateway::with_config(&config);
+    assert_ten_requests_served(&gateway, "3000");
 }
 
 #[test]
-fn a_frame_that_is_not_whole_when_the_process_ends_is_ended_without_a_reset() {
-    let (one, names) = (host(good), Directory::new(1));
-    let mut node = Node::new(&[("s-1", &one)], &names, "load");
-    let mut client = node.client();
-    client.ask("check", "3000", 1);
-    assert_eq!(client.answer(), (1, 0));
-    node.signal("-TERM");
-    frame_of_leaving(&mut client);
-    let whole = request(2, &id(2), "check", "3000", F, &[7; 300]);
-    client.send(&whole[..whole.len() / 2]);
+fn a_connection_with_an_incomplete_frame_is_closed_without_a_reset_at_shutdown() {
+    let (host, directory) = (start_host(answer_ok), Directory::new(1));
+    let mut gateway = Gateway::new(&[("s-1", &host)], &directory, "load");
+    let mut client = gateway.connect();
+    client.send_request("check", "3000", 1);
+    assert_eq!(client.next_answer(), (1, 0));
+    gateway.signal("-TERM");
+    expect_leaving(&mut client);
+    let whole = request_frame(2, &id(2), "check", "3000", FUNCTION, &[7; 300]);
+    client.send_bytes(&whole[..whole.len() / 2]);
     // The end of taking is told once more; then nothing but the end, in good order.
-    frame_of_leaving(&mut client);
+    expect_leaving(&mut client);
     let end = client.socket.read(&mut [0]);
     assert!(matches!(end, Ok(0)), "an end in good order: {end:?}");
     drop(client);
-    assert_eq!((node.ends(), invokes(&one)), (Some(0), 1));
+    assert_eq!((gateway.wait_for_exit(), invoke_count(&host)), (Some(0), 1));
 }
 
 #[test]
-fn a_reload_and_term_that_come_together_are_both_followed() {
-    let (one, two, names, later) = (host(good), host(good), Directory::new(1), Directory::new(1));
-    let hosts = [("s-1".to_owned(), one.at), ("s-2".to_owned(), two.at)];
-    let mut node = Node::with(&config(&hosts, names.at, "load"));
-    let mut client = node.client();
-    later.tell(3, &[("s-1", one.at, 1), ("s-2", two.at, 0)]);
-    node.freeze();
-    node.configure(&config(&hosts, later.at, "load"));
-    node.signal("-HUP");
-    node.signal("-TERM");
-    node.wake();
-    frame_of_leaving(&mut client);
+fn a_reload_and_term_that_arrive_together_both_take_effect() {
+    let (host_1, host_2, directory, new_directory) =
+        (start_host(answer_ok), start_host(answer_ok), Directory::new(1), Directory::new(1));
+    let hosts = [("s-1".to_owned(), host_1.address), ("s-2".to_owned(), host_2.address)];
+    let mut gateway = Gateway::with_config(&config(&hosts, directory.address, "load"));
+    let mut client = gateway.connect();
+    new_directory.set_hosts(3, &[("s-1", host_1.address, 1), ("s-2", host_2.address, 0)]);
+    gateway.pause();
+    gateway.write_config(&config(&hosts, new_directory.address, "load"));
+    gateway.signal("-HUP");
+    gateway.signal("-TERM");
+    gateway.resume();
+    expect_leaving(&mut client);
     // While it still takes requests, it keeps to the drain that only the new directory told.
-    node.logged("list serial=3");
+    gateway.wait_for_log("list serial=3");
     for n in 0..5 {
-        let stream = client.ask("post", "3000", n);
-        assert!(matches!(client.answer(), (of, 0 | 8) if of == stream));
+        let stream = client.send_request("post", "3000", n);
+        assert!(matches!(client.next_answer(), (of, 0 | 8) if of == stream));
     }
-    assert_eq!(invokes(&one), 0);
+    assert_eq!(invoke_count(&host_1), 0);
     drop(client);
-    assert_eq!(node.ends(), Some(0));
+    assert_eq!(gateway.wait_for_exit(), Some(0));
 }
 
 #[test]
-fn what_a_gateway_accepted_right_before_it_was_killed_is_served_by_the_next() {
-    let (one, names) = (host(good), Directory::new(1));
-    let config = one_host(&one, &names, "load");
-    let mut node = Node::with(&config);
-    let at = node.at;
-    node.freeze();
-    let mut clients: Vec<Client> = (0..20).map(|_| node.client()).collect();
+fn requests_accepted_right_before_a_kill_are_served_by_the_next_process() {
+    let (host, directory) = (start_host(answer_ok), Directory::new(1));
+    let config = one_host(&host, &directory, "load");
+    let mut gateway = Gateway::with_config(&config);
+    let address = gateway.address;
+    gateway.pause();
+    let mut clients: Vec<Client> = (0..20).map(|_| gateway.connect()).collect();
     for (n, client) in (1..).zip(&mut clients) {
-        client.ask_as(1, &id(n), "post", "3000");
+        client.send_request_with_id(1, &id(n), "post", "3000");
     }
-    node.signal("-KILL");
-    assert_eq!(node.ends(), None);
-    assert!(clients.iter_mut().all(|client| client.next().is_none()), "an end without an answer");
-    let again = Node::with(&config.replace("127.0.0.1:0", &at.to_string()));
+    gateway.signal("-KILL");
+    assert_eq!(gateway.wait_for_exit(), None);
+    assert!(clients.iter_mut().all(|client| client.next_frame().is_none()), "an end without an answer");
+    let restarted = Gateway::with_config(&config.replace("127.0.0.1:0", &address.to_string()));
     for n in 1..=20 {
-        let mut client = again.client();
-        client.ask_as(1, &id(n), "post", "3000");
-        assert_eq!(client.answer(), (1, 0));
+        let mut client = restarted.connect();
+        client.send_request_with_id(1, &id(n), "post", "3000");
+        assert_eq!(client.next_answer(), (1, 0));
     }
-    assert_eq!(invokes(&one), 20);
+    assert_eq!(invoke_count(&host), 20);
 }
 
 #[test]
-fn a_killed_gateway_comes_back_on_its_port_while_old_connections_linger() {
-    let (one, names) = (host(good), Directory::new(1));
-    let config = one_host(&one, &names, "load");
-    let mut node = Node::with(&config);
-    let at = node.at;
-    let mut clients: Vec<Client> = (0..20).map(|_| node.client()).collect();
+fn a_killed_gateway_listens_on_its_port_again_while_old_connections_linger() {
+    let (host, directory) = (start_host(answer_ok), Directory::new(1));
+    let config = one_host(&host, &directory, "load");
+    let mut gateway = Gateway::with_config(&config);
+    let address = gateway.address;
+    let mut clients: Vec<Client> = (0..20).map(|_| gateway.connect()).collect();
     for client in &mut clients {
-        client.ask("check", "3000", 1 + u64::from(client.socket.local_addr().unwrap().port()));
-        assert_eq!(client.answer(), (1, 0));
+        client.send_request("check", "3000", 1 + u64::from(client.socket.local_addr().unwrap().port()));
+        assert_eq!(client.next_answer(), (1, 0));
     }
-    node.signal("-KILL");
-    assert_eq!(node.ends(), None);
-    let again = Node::with(&config.replace("127.0.0.1:0", &at.to_string()));
-    assert_eq!(again.at, at);
-    let mut client = again.client();
-    client.ask("check", "3000", 7);
-    assert_eq!(client.answer(), (1, 0));
+    gateway.signal("-KILL");
+    assert_eq!(gateway.wait_for_exit(), None);
+    let restarted = Gateway::with_config(&config.replace("127.0.0.1:0", &address.to_string()));
+    assert_eq!(restarted.address, address);
+    let mut client = restarted.connect();
+    client.send_request("check", "3000", 7);
+    assert_eq!(client.next_answer(), (1, 0));
 }
 
 // Clients.
 
 /// A gateway of which a request for `F2` waits for a load, asked on stream 9 by this client.
-fn waiting_for_a_load() -> (Node, Played, Client, usize, String) {
-    let (node, mut one, mut client) = played("miss", Node::narrow_client);
-    client.send(&request(9, &id(9), "check", "5000", F2, b"in"));
-    let (line, order) = one.next_of("prewarm");
-    (node, one, client, line, order[1].clone())
+fn gateway_waiting_for_load() -> (Gateway, ManualHost, Client, usize, String) {
+    let (gateway, mut host, mut client) = gateway_and_host("miss", Gateway::connect_with_small_buffers);
+    client.send_bytes(&request_frame(9, &id(9), "check", "5000", OTHER_FUNCTION, b"in"));
+    let (connection, order) = host.next_command_named("prewarm");
+    (gateway, host, client, connection, order[1].clone())
 }
 
 /// The load is there now; what waited was taken back, so only what is asked now may be sent.
-fn nothing_but_what_is_asked_now(node: &Node, one: &mut Played, line: usize, order: &str) {
-    one.answer(line, order, "OK", "instances=1", b"");
-    let mut other = node.client();
-    other.send(&request(1, &id(77), "check", "5000", F2, b"in"));
-    let (line, command) = one.next_of("invoke");
+fn assert_only_new_invoked(gateway: &Gateway, host: &mut ManualHost, connection: usize, order: &str) {
+    host.send_answer(connection, order, "OK", "instances=1", b"");
+    let mut other = gateway.connect();
+    other.send_bytes(&request_frame(1, &id(77), "check", "5000", OTHER_FUNCTION, b"in"));
+    let (connection, command) = host.next_command_named("invoke");
     assert_eq!(command[1], id(77), "a request whose client left while it waited was sent on");
-    one.answer(line, &id(77), "OK", "-", b"out");
-    assert_eq!(other.answer(), (1, 0));
-    assert!(one.next_within(Duration::from_millis(100)).is_none_or(|(_, c)| c[0] != "invoke"));
+    host.send_answer(connection, &id(77), "OK", "-", b"out");
+    assert_eq!(other.next_answer(), (1, 0));
+    assert!(host.next_command_within(Duration::from_millis(100)).is_none_or(|(_, c)| c[0] != "invoke"));
 }
 
 #[test]
-fn what_waits_for_a_load_is_not_sent_on_when_its_client_takes_it_back_or_leaves() {
+fn a_request_waiting_for_a_load_is_not_sent_after_its_client_cancels_or_leaves() {
     for way in 0..4 {
-        let (node, mut one, mut client, line, order) = waiting_for_a_load();
+        let (gateway, mut host, mut client, connection, order) = gateway_waiting_for_load();
         match way {
-            0 => client.take_back(9),
+            0 => client.cancel(9),
             // A half-close is an end: a client that leaves shows no more than that.
             1 => client.socket.shutdown(std::net::Shutdown::Write).unwrap(),
             2 => drop(client),
             _ => client.reset(),
         }
-        node.logged(if way == 0 { " taken back " } else { " left " });
-        nothing_but_what_is_asked_now(&node, &mut one, line, &order);
+        gateway.wait_for_log(if way == 0 { " taken back " } else { " left " });
+        assert_only_new_invoked(&gateway, &mut host, connection, &order);
     }
 }
 
 #[test]
-fn a_request_whose_client_left_before_it_was_read_is_not_sent_on() {
+fn a_request_whose_client_left_before_it_was_read_is_not_sent() {
     for way in 0..4 {
-        let (one, names) = (host(good), Directory::new(1));
-        let node = Node::new(&[("s-1", &one)], &names, "load");
-        let mut client = node.client();
-        client.ask_as(1, &id(1), "check", "5000");
-        assert_eq!(client.answer(), (1, 0));
-        node.freeze();
+        let (host, directory) = (start_host(answer_ok), Directory::new(1));
+        let gateway = Gateway::new(&[("s-1", &host)], &directory, "load");
+        let mut client = gateway.connect();
+        client.send_request_with_id(1, &id(1), "check", "5000");
+        assert_eq!(client.next_answer(), (1, 0));
+        gateway.pause();
         // On a connection that stands, or on one that waits to be accepted; with the request come its end or its taking back.
-        let mut client = if way == 0 { client } else { node.client() };
-        client.ask_as(2, &id(2), "check", "5000");
+        let mut client = if way == 0 { client } else { gateway.connect() };
+        client.send_request_with_id(2, &id(2), "check", "5000");
         match way {
             0 | 1 => drop(client),
-            2 => client.take_back(2),
+            2 => client.cancel(2),
             _ => client.socket.shutdown(std::net::Shutdown::Write).unwrap(),
         }
         std::thread::sleep(Duration::from_millis(300));
-        node.wake();
-        let mut other = node.client();
-        other.ask_as(1, &id(3), "check", "5000");
-        assert_eq!(other.answer(), (1, 0));
-        let seen = one.seen.lock().unwrap().clone();
+        gateway.resume();
+        let mut other = gateway.connect();
+        other.send_request_with_id(1, &id(3), "check", "5000");
+        assert_eq!(other.next_answer(), (1, 0));
+        let seen = host.commands.lock().unwrap().clone();
         assert!(!seen.contains(&format!("invoke {}", id(2))), "way {way}: {seen:?}");
     }
 }
 
 #[test]
-fn a_client_that_does_not_read_can_still_take_back_what_waits() {
+fn a_client_that_does_not_read_can_still_cancel_a_waiting_request() {
     for leaves in [false, true] {
-        let (node, mut one, mut client, line, order) = waiting_for_a_load();
+        let (gateway, mut host, mut client, connection, order) = gateway_waiting_for_load();
         // Answers that it does not read: far more waits for it than the bound.
-        client.send(&request(1, &id(1), "check", "5000", F, b"in"));
-        let (second, prewarm) = one.next_of("prewarm");
-        one.answer(second, &prewarm[1], "OK", "instances=1", b"");
-        let (at, _) = one.next_of("invoke");
-        one.answer(at, &id(1), "OK", "-", &vec![0; 250 << 10]);
-        node.logged("stream=1 status=served");
+        client.send_bytes(&request_frame(1, &id(1), "check", "5000", FUNCTION, b"in"));
+        let (second, prewarm) = host.next_command_named("prewarm");
+        host.send_answer(second, &prewarm[1], "OK", "instances=1", b"");
+        let (third, _) = host.next_command_named("invoke");
+        host.send_answer(third, &id(1), "OK", "-", &vec![0; 250 << 10]);
+        gateway.wait_for_log("stream=1 status=served");
         match leaves {
-            false => client.take_back(9),
+            false => client.cancel(9),
             true => client.socket.shutdown(std::net::Shutdown::Write).unwrap(),
         }
-        node.logged(if leaves { " left " } else { " taken back " });
-        nothing_but_what_is_asked_now(&node, &mut one, line, &order);
+        gateway.wait_for_log(if leaves { " left " } else { " taken back " });
+        assert_only_new_invoked(&gateway, &mut host, connection, &order);
     }
 }
 
 #[test]
-fn a_client_that_sent_no_frame_and_leaves_takes_back_what_waits() {
-    let (node, mut one, mut client, line, order) = waiting_for_a_load();
-    client.send(&[0, 0, 0, 0, 100]);
-    assert_eq!(client.answer(), (0, 13), "it is told");
+fn a_client_that_sends_an_invalid_frame_and_leaves_cancels_its_waiting_request() {
+    let (gateway, mut host, mut client, connection, order) = gateway_waiting_for_load();
+    client.send_bytes(&[0, 0, 0, 0, 100]);
+    assert_eq!(client.next_answer(), (0, 13), "it is told");
     drop(client);
-    node.logged(" left ");
-    nothing_but_what_is_asked_now(&node, &mut one, line, &order);
+    gateway.wait_for_log(" left ");
+    assert_only_new_invoked(&gateway, &mut host, connection, &order);
 }
 
 #[test]
-fn what_waits_for_a_hosts_connection_is_not_sent_on_when_its_client_takes_it_back() {
-    let (mut one, names) = (Played::narrow(), Directory::new(1));
+fn a_request_waiting_for_a_host_connection_is_not_sent_after_its_client_cancels() {
+    let (mut host, directory) = (ManualHost::with_backlog_of_one(), Directory::new(1));
     // Connections may come up late here.
-    let slow = one_host(&one.host(), &names, "load")
+    let slow_connect_config = one_host(&host.as_host(), &directory, "load")
         .replace("\"connect_timeout\":250000", "\"connect_timeout\":9000000");
-    let node = Node::with(&slow);
-    one.deaf = true;
+    let gateway = Gateway::with_config(&slow_connect_config);
+    host.accepts_paused = true;
     // The first takes the one place that the machine holds, the second has to wait for its connection.
-    let mut clients: Vec<Client> = (1..=3).map(|_| node.client()).collect();
+    let mut clients: Vec<Client> = (1..=3).map(|_| gateway.connect()).collect();
     for (n, client) in (1..).zip(&mut clients) {
-        client.send(&request(1, &id(n), "check", "5000", F, b"in"));
-        node.logged(&format!("run id={}", id(n)));
+        client.send_bytes(&request_frame(1, &id(n), "check", "5000", FUNCTION, b"in"));
+        gateway.wait_for_log(&format!("run id={}", id(n)));
     }
     for client in &mut clients[1..] {
-        client.take_back(1);
+        client.cancel(1);
     }
-    node.logged_times(" taken back ", 2);
-    one.deaf = false;
-    let (line, command) = one.next_of("invoke");
+    gateway.wait_for_log_count(" taken back ", 2);
+    host.accepts_paused = false;
+    let (connection, command) = host.next_command_named("invoke");
     assert_eq!(command[1], id(1));
     // Long enough for the kernel to try the connections again.
-    let sent = one.next_within(Duration::from_millis(1_500));
+    let sent = host.next_command_within(Duration::from_millis(1_500));
     assert!(sent.as_ref().is_none_or(|(_, c)| c[0] != "invoke"), "{sent:?}");
-    one.answer(line, &id(1), "OK", "-", b"out");
-    assert_eq!(clients[0].answer(), (1, 0));
+    host.send_answer(connection, &id(1), "OK", "-", b"out");
+    assert_eq!(clients[0].next_answer(), (1, 0));
 }
 
 #[test]
-fn an_answer_that_crosses_its_taking_back_is_dropped_and_the_stream_may_be_used_again() {
-    let (node, mut one, mut client) = played("load", Node::client);
-    client.ask_as(1, &id(1), "post", "3000");
-    let (line, _) = one.next_of("invoke");
-    node.freeze();
+fn an_answer_that_crosses_a_cancellation_is_dropped_and_the_stream_can_be_reused() {
+    let (gateway, mut host, mut client) = gateway_and_host("load", Gateway::connect);
+    client.send_request_with_id(1, &id(1), "post", "3000");
+    let (connection, _) = host.next_command_named("invoke");
+    gateway.pause();
     // Both are there when it looks: the taking back, and the answer to what is taken back.
-    client.take_back(1);
-    client.ask_as(1, &id(2), "post", "3000");
-    one.answer(line, &id(1), "OK", "-", b"first");
-    node.wake();
-    let (line, command) = one.next_of("invoke");
+    client.cancel(1);
+    client.send_request_with_id(1, &id(2), "post", "3000");
+    host.send_answer(connection, &id(1), "OK", "-", b"first");
+    gateway.resume();
+    let (connection, command) = host.next_command_named("invoke");
     assert_eq!(command[1], id(2));
-    one.answer(line, &id(2), "OK", "-", b"second");
+    host.send_answer(connection, &id(2), "OK", "-", b"second");
     // Whichever it read first, the second request gets its own answer and nothing else follows.
-    let mut frame = client.next();
+    let mut frame = client.next_frame();
     if frame == Some(FromGateway::Answer(1, 0, None, b"first".to_vec())) {
-        frame = client.next();
+        frame = client.next_frame();
     }
     assert_eq!(frame, Some(FromGateway::Answer(1, 0, None, b"second".to_vec())));
-    client.ask_as(2, &id(3), "no-such-class", "3000");
-    assert_eq!(client.answer(), (2, 8));
+    client.send_request_with_id(2, &id(3), "no-such-class", "3000");
+    assert_eq!(client.next_answer(), (2, 8));
 }
 
 #[test]
-fn the_same_id_again_while_its_first_attempt_is_out_goes_to_another_connection() {
-    let (_node, mut one, mut client) = played("load", Node::client);
-    client.ask_as(1, &id(1), "check", "3000");
-    let (line, _) = one.next_of("invoke");
-    client.take_back(1);
-    client.ask_as(2, &id(1), "check", "3000");
-    let (again, command) = one.next_of("invoke");
-    assert_eq!((command[1].as_str(), again != line), (id(1).as_str(), true));
-    one.answer(line, &id(1), "OK", "-", b"first");
-    one.answer(again, &id(1), "OK", "-", b"second");
-    assert_eq!(client.next(), Some(FromGateway::Answer(2, 0, None, b"second".to_vec())));
+fn a_reused_id_whose_first_attempt_is_in_flight_uses_another_connection() {
+    let (_gateway, mut host, mut client) = gateway_and_host("load", Gateway::connect);
+    client.send_request_with_id(1, &id(1), "check", "3000");
+    let (connection, _) = host.next_command_named("invoke");
+    client.cancel(1);
+    client.send_request_with_id(2, &id(1), "check", "3000");
+    let (second, command) = host.next_command_named("invoke");
+    assert_eq!((command[1].as_str(), second != connection), (id(1).as_str(), true));
+    host.send_answer(connection, &id(1), "OK", "-", b"first");
+    host.send_answer(second, &id(1), "OK", "-", b"second");
+    assert_eq!(client.next_frame(), Some(FromGateway::Answer(2, 0, None, b"second".to_vec())));
 }
 
 #[test]
-fn a_place_is_not_taken_from_a_connection_on_which_a_request_has_just_come() {
-    let (one, names) = (host(good), Directory::new(1));
-    let node = Node::new(&[("s-1", &one)], &names, "load");
+fn a_connection_with_a_request_that_just_arrived_is_not_evicted() {
+    let (host, directory) = (start_host(answer_ok), Directory::new(1));
+    let gateway = Gateway::new(&[("s-1", &host)], &directory, "load");
     // 256 descriptors leave 116 places; all are taken, by clients that were served and have been idle for a while.
-    let mut clients: Vec<Client> = (0..116).map(|_| node.client()).collect();
+    let mut clients: Vec<Client> = (0..116).map(|_| gateway.connect()).collect();
     for (n, client) in clients.iter_mut().enumerate() {
-        client.ask("check", "3000", n as u64);
-        assert_eq!(client.answer(), (1, 0));
+        client.send_request("check", "3000", n as u64);
+        assert_eq!(client.next_answer(), (1, 0));
     }
     std::thread::sleep(Duration::from_millis(300));
-    node.freeze();
+    gateway.pause();
     // The one that has been idle the longest asks, and another comes: both are there when it looks.
-    clients[0].ask("check", "3000", 500);
-    let mut newcomer = node.client();
-    newcomer.ask("check", "3000", 501);
-    node.wake();
-    assert_eq!(clients[0].answer(), (2, 0));
-    assert_eq!(newcomer.answer(), (1, 0));
-    assert_eq!(clients[1].next(), None, "the next longest gives way");
+    clients[0].send_request("check", "3000", 500);
+    let mut newcomer = gateway.connect();
+    newcomer.send_request("check", "3000", 501);
+    gateway.resume();
+    assert_eq!(clients[0].next_answer(), (2, 0));
+    assert_eq!(newcomer.next_answer(), (1, 0));
+    assert_eq!(clients[1].next_frame(), None, "the next longest gives way");
 }
 
 #[test]
-fn a_request_that_comes_as_the_time_of_its_silent_connection_is_up_is_served() {
-    let (one, names) = (host(good), Directory::new(1));
-    let node = Node::new(&[("s-1", &one)], &names, "load");
-    let mut client = node.client();
+fn a_request_that_arrives_as_its_silent_connection_times_out_is_served() {
+    let (host, directory) = (start_host(answer_ok), Directory::new(1));
+    let gateway = Gateway::new(&[("s-1", &host)], &directory, "load");
+    let mut client = gateway.connect();
     // Both are there when it looks: the request, and the end of the time for which a new connection may say nothing.
-    node.freeze();
+    gateway.pause();
     std::thread::sleep(Duration::from_millis(1_400));
-    client.ask("check", "3000", 1);
-    node.wake();
-    assert_eq!(client.answer(), (1, 0));
+    client.send_request("check", "3000", 1);
+    gateway.resume();
+    assert_eq!(client.next_answer(), (1, 0));
 }
 
 #[test]
-fn half_a_message_ends_its_connection_only_after_what_is_open_there_is_answered() {
-    let (_node, mut one, mut client) = played("load", Node::client);
-    client.ask_as(1, &id(1), "post", "5000");
-    let (line, _) = one.next_of("invoke");
-    client.send(&[200, 0, 0, 0, 100, 1]);
-    assert_eq!(client.answer(), (0, 13), "it is told");
-    one.answer(line, &id(1), "OK", "-", b"out");
-    assert_eq!(client.answer(), (1, 0));
-    assert_eq!(client.next(), None);
+fn an_incomplete_message_closes_its_connection_only_after_open_requests_are_answered() {
+    let (_gateway, mut host, mut client) = gateway_and_host("load", Gateway::connect);
+    client.send_request_with_id(1, &id(1), "post", "5000");
+    let (connection, _) = host.next_command_named("invoke");
+    client.send_bytes(&[200, 0, 0, 0, 100, 1]);
+    assert_eq!(client.next_answer(), (0, 13), "it is told");
+    host.send_answer(connection, &id(1), "OK", "-", b"out");
+    assert_eq!(client.next_answer(), (1, 0));
+    assert_eq!(client.next_frame(), None);
 }
 
 #[test]
-fn a_request_that_comes_in_pieces_is_served_when_it_is_whole() {
-    let (one, names) = (host(good), Directory::new(1));
-    let node = Node::new(&[("s-1", &one)], &names, "load");
-    let mut client = node.client();
-    let whole = request(1, &id(1), "check", "1000", F, &[7; 300]);
+fn a_request_sent_in_pieces_is_served_when_complete() {
+    let (host, directory) = (start_host(answer_ok), Directory::new(1));
+    let gateway = Gateway::new(&[("s-1", &host)], &directory, "load");
+    let mut client = gateway.connect();
+    let whole = request_frame(1, &id(1), "check", "1000", FUNCTION, &[7; 300]);
     // Twice as long as a message may be silent; its own time runs from its last byte.
     for piece in whole.chunks(whole.len().div_ceil(6)) {
         std::thread::sleep(Duration::from_millis(450));
-        client.send(piece);
+        client.send_bytes(piece);
     }
-    assert_eq!(client.answer(), (1, 0));
-    client.ask_as(2, &id(2), "check", "3000");
-    assert_eq!(client.answer(), (2, 0), "the connection goes on");
+    assert_eq!(client.next_answer(), (1, 0));
+    client.send_request_with_id(2, &id(2), "check", "3000");
+    assert_eq!(client.next_answer(), (2, 0), "the connection goes on");
 }
 
 #[test]
-fn a_message_that_drips_on_has_an_end() {
-    let (one, names) = (host(good), Directory::new(1));
-    let node =
-        Node::with(&one_host(&one, &names, "load").replace("\"give_up\":5000000", "\"give_up\":1000000"));
-    let mut client = node.client();
-    let whole = request(1, &id(1), "check", "1000", F, &[7; 300]);
+fn a_message_sent_byte_by_byte_times_out() {
+    let (host, directory) = (start_host(answer_ok), Directory::new(1));
+    let gateway = Gateway::with_config(
+        &one_host(&host, &directory, "load").replace("\"give_up\":5000000", "\"give_up\":1000000"),
+    );
+    let mut client = gateway.connect();
+    let whole = request_frame(1, &id(1), "check", "1000", FUNCTION, &[7; 300]);
     // At this pace it would take 40 s.
     client.socket.set_read_timeout(Some(Duration::from_millis(100))).unwrap();
     let ended = whole.iter().position(|byte| {
@@ -497,14 +508,14 @@
             matches!(error.kind(), std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut))
     });
     assert!(
-        ended.is_some_and(|at| at > 12),
+        ended.is_some_and(|position| position > 12),
         "ended at byte {ended:?}: longer than a silent one, not for ever"
     );
-    node.logged("why=\"half-sent\"");
+    gateway.wait_for_log("why=\"half-sent\"");
 }
 
 /// Takes a step again and again in the background until the test is over.
-fn beside<T>(mut step: impl FnMut() + Send, test: impl FnOnce() -> T) -> T {
+fn with_background<T>(mut step: impl FnMut() + Send, test: impl FnOnce() -> T) -> T {
     struct Stop<'a>(&'a AtomicBool);
     impl Drop for Stop<'_> {
         fn drop(&mut self) {
@@ -525,91 +536,91 @@
 }
 
 /// Ten clients ask, one after the other; each is served.
-fn ten_are_served(node: &Node, wait: &str) {
+fn assert_ten_requests_served(gateway: &Gateway, wait: &str) {
     for n in 0..10 {
-        let mut client = node.client();
-        client.ask("check", wait, n);
-        let answer = client.next();
+        let mut client = gateway.connect();
+        client.send_request("check", wait, n);
+        let answer = client.next_frame();
         assert!(matches!(answer, Some(FromGateway::Answer(1, 0, ..))), "client {n}: {answer:?}");
     }
 }
 
 #[test]
-fn many_that_drip_on_do_not_keep_a_client_from_its_place() {
-    let (one, names) = (host(good), Directory::new(1));
-    let node = Node::new(&[("s-1", &one)], &names, "load");
-    let whole = request(1, &id(1), "check", "1000", F, &[7; 300]);
+fn many_slow_senders_do_not_keep_a_client_from_connecting() {
+    let (host, directory) = (start_host(answer_ok), Directory::new(1));
+    let gateway = Gateway::new(&[("s-1", &host)], &directory, "load");
+    let whole = request_frame(1, &id(1), "check", "1000", FUNCTION, &[7; 300]);
     let mut crowd: Vec<(TcpStream, usize)> = Vec::new();
     // More than the 116 places; each drips on, and comes again when it is closed.
     let drip = || {
-        crowd.retain_mut(|(socket, at)| {
-            *at += 1;
-            socket.write_all(&whole[*at - 1..*at]).is_ok() && *at + 1 < whole.len()
+        crowd.retain_mut(|(socket, sent)| {
+            *sent += 1;
+            socket.write_all(&whole[*sent - 1..*sent]).is_ok() && *sent + 1 < whole.len()
         });
         while crowd.len() < 200 {
-            crowd.push((TcpStream::connect(node.at).unwrap(), 0));
+            crowd.push((TcpStream::connect(gateway.address).unwrap(), 0));
         }
     };
-    beside(drip, || {
+    with_background(drip, || {
         std::thread::sleep(Duration::from_secs(1));
-        ten_are_served(&node, "3000");
+        assert_ten_requests_served(&gateway, "3000");
     });
 }
 
 #[test]
-fn idle_clients_that_fill_the_descriptors_leave_the_directory_and_the_hosts_theirs() {
+fn idle_clients_at_the_descriptor_limit_leave_descriptors_for_the_directory_and_hosts() {
     // As many as the configuration says, and fewer than that.
     for descriptors in [256, 64] {
-        let (one, two, names) = (host(good), host(good), Directory::new(1));
-        let node = Node::with_descriptors(&one_host(&one, &names, "load"), descriptors);
+        let (host_1, host_2, directory) = (start_host(answer_ok), start_host(answer_ok), Directory::new(1));
+        let gateway = Gateway::with_descriptor_limit(&one_host(&host_1, &directory, "load"), descriptors);
         // More than there are places for: each asks whether it is ready, is told, and says no more.
-        let mut crowd: Vec<Client> = (0..300).map(|_| node.client()).collect();
+        let mut crowd: Vec<Client> = (0..300).map(|_| gateway.connect()).collect();
         for client in &mut crowd {
             let mut ready = Vec::new();
             encode_bare(&mut ready, true, 1);
-            client.send(&ready);
+            client.send_bytes(&ready);
         }
-        node.logged("the directory is silent");
+        gateway.wait_for_log("the directory is silent");
         // Long enough to have waited behind the crowd: how long one waited to be accepted is reckoned at its most.
-        ten_are_served(&node, "20000");
+        assert_ten_requests_served(&gateway, "20000");
         // It comes back, with another host.
-        names.tell(5, &[("s-1", one.at, 1), ("s-2", two.at, 0)]);
-        node.logged("list serial=5");
-        ten_are_served(&node, "20000");
-        assert_eq!((invokes(&one), invokes(&two)), (10, 10), "{descriptors}");
+        directory.set_hosts(5, &[("s-1", host_1.address, 1), ("s-2", host_2.address, 0)]);
+        gateway.wait_for_log("list serial=5");
+        assert_ten_requests_served(&gateway, "20000");
+        assert_eq!((invoke_count(&host_1), invoke_count(&host_2)), (10, 10), "{descriptors}");
     }
 }
 
 #[test]
-fn a_client_that_reads_slowly_is_waited_for_and_one_that_reads_nothing_is_not() {
+fn a_slow_reader_gets_its_answers_and_a_client_that_never_reads_is_disconnected() {
     const BODY: usize = 250 << 10;
     for reads in [true, false] {
-        let (node, mut one, mut client) = played("load", Node::narrow_client);
+        let (gateway, mut host, mut client) = gateway_and_host("load", Gateway::connect_with_small_buffers);
         // One that will be answered last of all; a client of which nothing is open is waited for only as it reads.
         if reads {
-            client.ask_as(5, &id(5), "post", "5000");
+            client.send_request_with_id(5, &id(5), "post", "5000");
         }
-        let open = reads.then(|| one.next_of("invoke").0);
-        answered_at_length(&node, &mut one, &mut client, 4, BODY);
+        let open = reads.then(|| host.next_command_named("invoke").0);
+        queue_answers(&gateway, &mut host, &mut client, 4, BODY);
         if !reads {
-            node.logged("closed connection");
+            gateway.wait_for_log("closed connection");
             continue;
         }
         // Longer than the two seconds for which one that reads nothing is waited for, with a request open.
         let mut part = vec![0; 4 << 10];
         for _ in 0..6 {
             client.socket.read_exact(&mut part).unwrap();
-            client.held.extend_from_slice(&part);
+            client.received.extend_from_slice(&part);
             std::thread::sleep(Duration::from_millis(500));
         }
         let mut whole = 0;
-        one.answer(open.unwrap(), &id(5), "OK", "-", b"out");
+        host.send_answer(open.unwrap(), &id(5), "OK", "-", b"out");
         while whole < 4 {
-            let Some(FromGateway::Answer(n, 0, None, body)) = client.next() else { panic!("cut off") };
+            let Some(FromGateway::Answer(n, 0, None, body)) = client.next_frame() else { panic!("cut off") };
             assert_eq!(body, vec![n as u8; BODY]);
             whole += 1;
         }
-        assert_eq!(client.next(), Some(FromGateway::Answer(5, 0, None, b"out".to_vec())));
+        assert_eq!(client.next_frame(), Some(FromGateway::Answer(5, 0, None, b"out".to_vec())));
     }
 }
 
@@ -617,24 +628,25 @@
 
 /// The ways in which a client goes.
 #[derive(Clone, Copy, Debug)]
-enum Goes {
-    TakesBack,
-    HalfCloses,
-    Closes,
-    Resets,
+enum ClientExit {
+    Cancel,
+    HalfClose,
+    Close,
+    Reset,
 }
 
-const WAYS: [Goes; 4] = [Goes::TakesBack, Goes::HalfCloses, Goes::Closes, Goes::Resets];
+const CLIENT_EXITS: [ClientExit; 4] =
+    [ClientExit::Cancel, ClientExit::HalfClose, ClientExit::Close, ClientExit::Reset];
 /// Far more than the 0.1 s after which nothing may begin for a client that has gone.
-const LONG_GONE: Duration = Duration::from_millis(300);
+const AFTER_CLIENT_LEFT: Duration = Duration::from_millis(300);
 
 /// The client of the request on that stream goes; one that only takes back keeps its connection.
-fn goes(mut client: Client, stream: u32, way: Goes) -> Option<Client> {
+fn leave(mut client: Client, stream: u32, way: ClientExit) -> Option<Client> {
     match way {
-        Goes::TakesBack => client.take_back(stream),
-        Goes::HalfCloses => client.socket.shutdown(std::net::Shutdown::Write).unwrap(),
-        Goes::Closes => return None,
-        Goes::Resets => {
+        ClientExit::Cancel => client.cancel(stream),
+        ClientExit::HalfClose => client.socket.shutdown(std::net::Shutdown::Write).unwrap(),
+        ClientExit::Close => return None,
+        ClientExit::Reset => {
             client.reset();
             return None;
         }
@@ -643,484 +655,500 @@
 }
 
 /// Nothing is sent on but what is asked now, by another client.
-fn only_what_is_asked_now_is_sent(node: &Node, one: &mut Played, why: &str) {
-    let mut other = node.client();
-    other.ask_as(1, &id(77), "check", "5000");
+fn assert_only_new_request_sent(gateway: &Gateway, host: &mut ManualHost, why: &str) {
+    let mut other = gateway.connect();
+    other.send_request_with_id(1, &id(77), "check", "5000");
     loop {
-        let (line, command) = one.next();
+        let (connection, command) = host.next_command();
         match command[0].as_str() {
             "invoke" => {
                 assert_eq!(command[1], id(77), "{why}: sent on though its client had gone");
-                one.answer(line, &id(77), "OK", "-", b"out");
+                host.send_answer(connection, &id(77), "OK", "-", b"out");
                 break;
             }
-            "prewarm" => one.answer(line, &command[1], "OK", "instances=1", b""),
+            "prewarm" => host.send_answer(connection, &command[1], "OK", "instances=1", b""),
             _ => {}
         }
     }
-    assert_eq!(other.answer(), (1, 0), "{why}");
-    while let Some((_, command)) = one.next_within(LONG_GONE) {
+    assert_eq!(other.next_answer(), (1, 0), "{why}");
+    while let Some((_, command)) = host.next_command_within(AFTER_CLIENT_LEFT) {
         assert_ne!(command[0], "invoke", "{why}: {}", command[1]);
     }
 }
 
 #[test]
-fn no_further_attempt_follows_an_answer_that_comes_with_its_clients_going() {
+fn no_retry_after_an_answer_that_arrives_as_the_client_leaves() {
     for word in ["BUSY", "MISS", "ERR", "reset", "end"] {
-        for way in WAYS {
-            let (node, mut one, mut client) = played("load", Node::client);
-            client.ask_as(1, &id(1), "check", "5000");
-            let (line, _) = one.next_of("invoke");
-            node.freeze();
+        for way in CLIENT_EXITS {
+            let (gateway, mut host, mut client) = gateway_and_host("load", Gateway::connect);
+            client.send_request_with_id(1, &id(1), "check", "5000");
+            let (connection, _) = host.next_command_named("invoke");
+            gateway.pause();
             match word {
-                "reset" => one.reset(line),
-                "end" => one.end(line),
-                word => one.answer(line, &id(1), word, "-", b""),
+                "reset" => host.reset(connection),
+                "end" => host.close(connection),
+                word => host.send_answer(connection, &id(1), word, "-", b""),
             }
-            let _client = goes(client, 1, way);
-            std::thread::sleep(LONG_GONE);
-            node.wake();
-            only_what_is_asked_now_is_sent(&node, &mut one, &format!("{word}, {way:?}"));
+            let _client = leave(client, 1, way);
+            std::thread::sleep(AFTER_CLIENT_LEFT);
+            gateway.resume();
+            assert_only_new_request_sent(&gateway, &mut host, &format!("{word}, {way:?}"));
         }
     }
 }
 
 #[test]
-fn no_attempt_follows_a_loads_end_that_comes_with_its_clients_going() {
+fn no_attempt_after_a_load_that_ends_as_the_client_leaves() {
     for word in ["OK", "BUSY", "ERR"] {
-        for way in WAYS {
-            let (node, mut one, client, line, order) = waiting_for_a_load();
-            node.freeze();
-            one.answer(line, &order, word, "instances=1", b"");
-            let _client = goes(client, 9, way);
-            std::thread::sleep(LONG_GONE);
-            node.wake();
-            only_what_is_asked_now_is_sent(&node, &mut one, &format!("{word}, {way:?}"));
+        for way in CLIENT_EXITS {
+            let (gateway, mut host, client, connection, order) = gateway_waiting_for_load();
+            gateway.pause();
+            host.send_answer(connection, &order, word, "instances=1", b"");
+            let _client = leave(client, 9, way);
+            std::thread::sleep(AFTER_CLIENT_LEFT);
+            gateway.resume();
+            assert_only_new_request_sent(&gateway, &mut host, &format!("{word}, {way:?}"));
         }
     }
 }
 
 #[test]
-fn no_second_copy_and_no_retry_falls_due_for_a_client_that_has_gone() {
+fn no_duplicate_and_no_retry_for_a_client_that_has_left() {
     for (class, word) in [("check", None), ("check", Some("BUSY")), ("post", Some("BUSY"))] {
-        for way in WAYS {
-            let (node, mut one, mut client) = played("load", Node::client);
-            client.ask_as(1, &id(1), class, "5000");
-            let (line, _) = one.next_of("invoke");
-            word.into_iter().for_each(|word| one.answer(line, &id(1), word, "-", b""));
-            node.freeze();
-            let _client = goes(client, 1, way);
+        for way in CLIENT_EXITS {
+            let (gateway, mut host, mut client) = gateway_and_host("load", Gateway::connect);
+            client.send_request_with_id(1, &id(1), class, "5000");
+            let (connection, _) = host.next_command_named("invoke");
+            word.into_iter().for_each(|word| host.send_answer(connection, &id(1), word, "-", b""));
+            gateway.pause();
+            let _client = leave(client, 1, way);
             // What came before it stood still came; then every timer of the request is over.
-            while let Some((line, command)) = one.next_within(Duration::from_millis(50)) {
+            while let Some((connection, command)) = host.next_command_within(Duration::from_millis(50)) {
                 if command[0] == "invoke" {
-                    one.answer(line, &id(1), "BUSY", "-", b"");
+                    host.send_answer(connection, &id(1), "BUSY", "-", b"");
                 }
             }
             std::thread::sleep(Duration::from_millis(1_500));
-            node.wake();
-            only_what_is_asked_now_is_sent(&node, &mut one, &format!("{class}, {word:?}, {way:?}"));
+            gateway.resume();
+            assert_only_new_request_sent(&gateway, &mut host, &format!("{class}, {word:?}, {way:?}"));
         }
     }
 }
 
 #[test]
-fn what_waits_in_the_queue_is_not_sent_on_when_its_client_goes() {
-    for way in WAYS {
-        let (mut one, names) = (Played::new(), Directory::new(1));
-        let patient = one_host(&one.host(), &names, "load").replace("\"aim\":600000", "\"aim\":4000000");
-        let node = Node::with(&patient);
+fn a_queued_request_is_not_sent_after_its_client_leaves() {
+    for way in CLIENT_EXITS {
+        let (mut host, directory) = (ManualHost::new(), Directory::new(1));
+        let long_deadline_config =
+            one_host(&host.as_host(), &directory, "load").replace("\"aim\":600000", "\"aim\":4000000");
+        let gateway = Gateway::with_config(&long_deadline_config);
         // The one host takes nothing new for a while, so what is asked has to wait.
-        names.tell(2, &[("s-1", one.at, 1)]);
-        node.logged("list serial=2");
-        let mut client = node.client();
-        client.ask_as(1, &id(1), "check", "5000");
-        client.ask_as(2, &id(2), "no-such-class", "5000");
-        assert_eq!(client.answer(), (2, 8), "the second one was read, and the first one waits");
-        let _client = goes(client, 1, way);
-        node.logged(if matches!(way, Goes::TakesBack) { " taken back " } else { " left " });
-        names.tell(3, &[("s-1", one.at, 0)]);
-        node.logged("list serial=3");
-        only_what_is_asked_now_is_sent(&node, &mut one, &format!("{way:?}"));
+        directory.set_hosts(2, &[("s-1", host.address, 1)]);
+        gateway.wait_for_log("list serial=2");
+        let mut client = gateway.connect();
+        client.send_request_with_id(1, &id(1), "check", "5000");
+        client.send_request_with_id(2, &id(2), "no-such-class", "5000");
+        assert_eq!(client.next_answer(), (2, 8), "the second one was read, and the first one waits");
+        let _client = leave(client, 1, way);
+        gateway.wait_for_log(if matches!(way, ClientExit::Cancel) { " taken back " } else { " left " });
+        directory.set_hosts(3, &[("s-1", host.address, 0)]);
+        gateway.wait_for_log("list serial=3");
+        assert_only_new_request_sent(&gateway, &mut host, &format!("{way:?}"));
     }
 }
 
 #[test]
-fn a_taking_back_behind_more_than_one_read_is_heard_before_the_next_attempt_leaves() {
-    let (node, mut one, mut client, line, order) = waiting_for_a_load();
-    node.freeze();
-    one.answer(line, &order, "OK", "instances=1", b"");
+fn a_cancellation_behind_more_than_one_read_is_handled_before_the_next_attempt_is_sent() {
+    let (gateway, mut host, mut client, connection, order) = gateway_waiting_for_load();
+    gateway.pause();
+    host.send_answer(connection, &order, "OK", "instances=1", b"");
     // Words on streams that have nothing open mean nothing, but have to be read.
     let mut words = Vec::new();
     (1_000..21_000).for_each(|stream| encode_bare(&mut words, false, stream));
-    client.send(&words);
-    client.take_back(9);
-    std::thread::sleep(LONG_GONE);
-    node.wake();
-    only_what_is_asked_now_is_sent(&node, &mut one, "behind 200 KB");
+    client.send_bytes(&words);
+    client.cancel(9);
+    std::thread::sleep(AFTER_CLIENT_LEFT);
+    gateway.resume();
+    assert_only_new_request_sent(&gateway, &mut host, "behind 200 KB");
 }
 
 #[test]
-fn a_client_that_goes_during_a_long_turn_is_heard_before_what_was_begun_in_it_leaves() {
-    for way in WAYS {
-        let (mut one, names) = (Played::new(), Directory::new(1));
-        let roomy = one_host(&one.host(), &names, "load")
+fn a_client_that_leaves_during_a_long_loop_iteration_is_noticed_before_its_attempt_is_sent() {
+    for way in CLIENT_EXITS {
+        let (mut host, directory) = (ManualHost::new(), Directory::new(1));
+        let large_memory_config = one_host(&host.as_host(), &directory, "load")
             .replace("\"memory_mb\":64", "\"memory_mb\":256")
             .replace("\"connect_timeout\":250000", "\"connect_timeout\":9000000");
-        let (node, log) = Node::piped(&roomy);
-        let mut client = node.client();
-        let mut others: Vec<Client> = (0..40).map(|_| node.client()).collect();
+        let (gateway, log) = Gateway::with_piped_log(&large_memory_config);
+        let mut client = gateway.connect();
+        let mut others: Vec<Client> = (0..40).map(|_| gateway.connect()).collect();
         // All are let in.
         for client in others.iter_mut().chain([&mut client]) {
-            client.ask_as(99, &id(99), "no-such-class", "5000");
-            assert_eq!(client.answer(), (99, 8));
+            client.send_request_with_id(99, &id(99), "no-such-class", "5000");
+            assert_eq!(client.next_answer(), (99, 8));
         }
         // Half of what the pipe holds, then a turn whose log is longer than the rest: the process stands in the middle
         // of it.
-        log.read(false);
+        log.set_reading(false);
         for _ in 0..250 {
-            client.ask_as(99, &id(99), "no-such-class", "5000");
-            assert_eq!(client.answer(), (99, 8));
+            client.send_request_with_id(99, &id(99), "no-such-class", "5000");
+            assert_eq!(client.next_answer(), (99, 8));
         }
-        node.freeze();
-        client.ask_as(1, &id(1), "check", "5000");
+        gateway.pause();
+        client.send_request_with_id(1, &id(1), "check", "5000");
         for (n, other) in others.iter_mut().enumerate() {
             let first = 1_000 + 100 * n as u32;
-            let all = (1..=32).flat_map(|m| request(m, &id(first + m), "check", "5000", F, b"in"));
-            other.send(&all.collect::<Vec<u8>>());
+            let all =
+                (1..=32).flat_map(|m| request_frame(m, &id(first + m), "check", "5000", FUNCTION, b"in"));
+            other.send_bytes(&all.collect::<Vec<u8>>());
         }
-        node.wake();
-        std::thread::sleep(LONG_GONE);
-        let _client = goes(client, 1, way);
-        std::thread::sleep(LONG_GONE);
-        log.read(true);
-        node.logged(&format!("run id={}", id(1)));
+        gateway.resume();
+        std::thread::sleep(AFTER_CLIENT_LEFT);
+        let _client = leave(client, 1, way);
+        std::thread::sleep(AFTER_CLIENT_LEFT);
+        log.set_reading(true);
+        gateway.wait_for_log(&format!("run id={}", id(1)));
         // The others are served, and it is not among them.
-        let mut next = Some(one.next_of("invoke"));
-        while let Some((line, command)) = next {
+        let mut next = Some(host.next_command_named("invoke"));
+        while let Some((connection, command)) = next {
             if command[0] == "invoke" {
                 assert_ne!(command[1], id(1), "{way:?}: it left after its client had gone");
-                one.answer(line, &command[1], "OK", "-", b"out");
+                host.send_answer(connection, &command[1], "OK", "-", b"out");
             }
-            next = one.next_within(LONG_GONE);
+            next = host.next_command_within(AFTER_CLIENT_LEFT);
         }
     }
 }
 
 #[test]
-fn a_connection_that_comes_up_with_its_clients_going_carries_nothing() {
-    for way in WAYS {
-        let (mut one, names) = (Played::narrow(), Directory::new(1));
-        let slow = one_host(&one.host(), &names, "load")
+fn a_host_connection_established_as_the_client_leaves_carries_no_request() {
+    for way in CLIENT_EXITS {
+        let (mut host, directory) = (ManualHost::with_backlog_of_one(), Directory::new(1));
+        let slow_connect_config = one_host(&host.as_host(), &directory, "load")
             .replace("\"connect_timeout\":250000", "\"connect_timeout\":9000000");
-        let node = Node::with(&slow);
-        one.deaf = true;
+        let gateway = Gateway::with_config(&slow_connect_config);
+        host.accepts_paused = true;
         // The first takes the one place that the machine holds, the second waits for its connection.
-        let mut clients: Vec<Client> = (1..=2).map(|_| node.client()).collect();
+        let mut clients: Vec<Client> = (1..=2).map(|_| gateway.connect()).collect();
         for (n, client) in (1..).zip(&mut clients) {
-            client.ask_as(1, &id(n), "check", "5000");
-            node.logged(&format!("run id={}", id(n)));
+            client.send_request_with_id(1, &id(n), "check", "5000");
+            gateway.wait_for_log(&format!("run id={}", id(n)));
         }
-        node.freeze();
-        let _client = goes(clients.pop().unwrap(), 1, way);
-        one.deaf = false;
+        gateway.pause();
+        let _client = leave(clients.pop().unwrap(), 1, way);
+        host.accepts_paused = false;
         let mut seen = Vec::new();
-        let end = std::time::Instant::now() + peers::PATIENCE;
-        while one.connections() < 2 {
+        let end = std::time::Instant::now() + peers::TEST_TIMEOUT;
+        while host.connection_count() < 2 {
             assert!(std::time::Instant::now() < end, "the second connection never came up");
-            seen.extend(one.next_within(Duration::from_millis(10)));
+            seen.extend(host.next_command_within(Duration::from_millis(10)));
         }
-        std::thread::sleep(LONG_GONE);
-        node.wake();
-        seen.extend(std::iter::from_fn(|| one.next_within(Duration::from_millis(500))));
+        std::thread::sleep(AFTER_CLIENT_LEFT);
+        gateway.resume();
+        seen.extend(std::iter::from_fn(|| host.next_command_within(Duration::from_millis(500))));
         let invokes = seen.into_iter().filter(|(_, command)| command[0] == "invoke");
-        let invokes: Vec<_> = invokes.map(|(line, command)| (line, command[1].clone())).collect();
+        let invokes: Vec<_> = invokes.map(|(connection, command)| (connection, command[1].clone())).collect();
         assert!(invokes.iter().all(|(_, of)| *of == id(1)), "{way:?}: {invokes:?}");
         // It stood still for longer than the first attempt had, so there may be another one.
-        invokes.iter().for_each(|(line, _)| one.answer(*line, &id(1), "OK", "-", b"out"));
-        assert_eq!(clients[0].answer().0, 1);
+        invokes.iter().for_each(|(connection, _)| host.send_answer(*connection, &id(1), "OK", "-", b"out"));
+        assert_eq!(clients[0].next_answer().0, 1);
     }
 }
 
 /// A gateway with one connection to its host, which holds little that was not read, and clients of it whose requests
 /// of 16 KiB are on that connection.
-fn clogged() -> (Node, Played, Vec<Client>) {
-    let (mut one, names) = (Played::slow(), Directory::new(1));
-    let tight = one_host(&one.host(), &names, "load").replace("\"sockets\":256", "\"sockets\":40");
-    let node = Node::with(&tight);
-    let mut clients: Vec<Client> = (0..6).map(|_| node.client()).collect();
+fn gateway_with_full_send_buffer() -> (Gateway, ManualHost, Vec<Client>) {
+    let (mut host, directory) = (ManualHost::with_small_receive_buffer(), Directory::new(1));
+    let tight_config =
+        one_host(&host.as_host(), &directory, "load").replace("\"sockets\":256", "\"sockets\":40");
+    let gateway = Gateway::with_config(&tight_config);
+    let mut clients: Vec<Client> = (0..6).map(|_| gateway.connect()).collect();
     for (n, client) in (1..).zip(&mut clients) {
-        client.send(&request(1, &id(n), "check", "5000", F, &[7; 16 << 10]));
-        node.logged(&format!("run id={}", id(n)));
+        client.send_bytes(&request_frame(1, &id(n), "check", "5000", FUNCTION, &[7; 16 << 10]));
+        gateway.wait_for_log(&format!("run id={}", id(n)));
     }
-    while one.connections() == 0 {
-        one.next_within(Duration::ZERO);
+    while host.connection_count() == 0 {
+        host.next_command_within(Duration::ZERO);
     }
-    (node, one, clients)
+    (gateway, host, clients)
 }
 
 #[test]
-fn an_attempt_of_which_a_part_has_left_does_not_arrive_when_its_client_has_gone() {
-    for way in WAYS {
-        let (node, mut one, clients) = clogged();
-        let _clients: Vec<_> = clients.into_iter().map(|client| goes(client, 1, way)).collect();
-        node.logged_times(if matches!(way, Goes::TakesBack) { " taken back " } else { " left " }, 6);
-        std::thread::sleep(LONG_GONE);
+fn a_partly_sent_attempt_is_cut_off_after_its_client_leaves() {
+    for way in CLIENT_EXITS {
+        let (gateway, mut host, clients) = gateway_with_full_send_buffer();
+        let _clients: Vec<_> = clients.into_iter().map(|client| leave(client, 1, way)).collect();
+        gateway
+            .wait_for_log_count(if matches!(way, ClientExit::Cancel) { " taken back " } else { " left " }, 6);
+        std::thread::sleep(AFTER_CLIENT_LEFT);
         // What had left whole is there; what had left in part is cut short, and nothing follows.
-        let (whole, part) = one.read_to_the_end(0);
+        let (whole, part) = host.read_to_end(0);
         assert!(whole.len() < 6 && part > 0, "{way:?}: {whole:?}, {part} bytes more");
-        only_what_is_asked_now_is_sent(&node, &mut one, &format!("{way:?}"));
+        assert_only_new_request_sent(&gateway, &mut host, &format!("{way:?}"));
     }
 }
 
 #[test]
-fn what_waits_on_a_clogged_connection_is_not_sent_on_when_it_clears_with_the_clients_going() {
-    let (node, mut one, clients) = clogged();
-    node.freeze();
-    let _clients: Vec<_> = clients.into_iter().map(|client| goes(client, 1, Goes::TakesBack)).collect();
+fn attempts_buffered_on_a_full_connection_are_not_sent_if_it_clears_as_the_clients_leave() {
+    let (gateway, mut host, clients) = gateway_with_full_send_buffer();
+    gateway.pause();
+    let _clients: Vec<_> = clients.into_iter().map(|client| leave(client, 1, ClientExit::Cancel)).collect();
     // The host reads on: when the process is woken, both are there.
     let mut before = Vec::new();
-    while let Some((_, command)) = one.next_within(LONG_GONE) {
+    while let Some((_, command)) = host.next_command_within(AFTER_CLIENT_LEFT) {
         before.push(command[1].clone());
     }
-    node.wake();
-    node.logged_times(" taken back ", 6);
+    gateway.resume();
+    gateway.wait_for_log_count(" taken back ", 6);
     // Of the one that had left in part the rest does not come either.
     let mut after = Vec::new();
-    while let Some((_, command)) = one.next_within(LONG_GONE) {
+    while let Some((_, command)) = host.next_command_within(AFTER_CLIENT_LEFT) {
         after.push(command[1].clone());
     }
     assert!(after.is_empty(), "{before:?}, then {after:?}");
-    only_what_is_asked_now_is_sent(&node, &mut one, "cleared");
+    assert_only_new_request_sent(&gateway, &mut host, "cleared");
 }
 
 #[test]
-fn what_waits_to_be_accepted_while_all_places_are_taken_is_not_sent_on_when_its_client_goes() {
-    for way in WAYS {
-        let (mut one, names) = (Played::new(), Directory::new(1));
-        let tight = one_host(&one.host(), &names, "load").replace("\"sockets\":256", "\"sockets\":40");
-        let node = Node::with(&tight);
+fn a_request_waiting_to_be_accepted_at_the_connection_limit_is_not_sent_after_its_client_leaves() {
+    for way in CLIENT_EXITS {
+        let (mut host, directory) = (ManualHost::new(), Directory::new(1));
+        let tight_config =
+            one_host(&host.as_host(), &directory, "load").replace("\"sockets\":256", "\"sockets\":40");
+        let gateway = Gateway::with_config(&tight_config);
         // 40 descriptors leave 8 places; each has an open request.
-        let mut clients: Vec<Client> = (0..8).map(|_| node.client()).collect();
+        let mut clients: Vec<Client> = (0..8).map(|_| gateway.connect()).collect();
         let mut open = Vec::new();
         for (n, client) in (1..).zip(&mut clients) {
-            client.ask_as(1, &id(n), "post", "5000");
-            open.push((one.next_of("invoke").0, id(n)));
+            client.send_request_with_id(1, &id(n), "post", "5000");
+            open.push((host.next_command_named("invoke").0, id(n)));
         }
-        let mut waiting: Vec<Client> = (0..3).map(|_| node.client()).collect();
+        let mut waiting: Vec<Client> = (0..3).map(|_| gateway.connect()).collect();
         for (n, client) in (20..).zip(&mut waiting) {
-            client.ask_as(1, &id(n), "check", "5000");
+            client.send_request_with_id(1, &id(n), "check", "5000");
         }
-        let _gone: Vec<_> = waiting.into_iter().map(|client| goes(client, 1, way)).collect();
-        std::thread::sleep(LONG_GONE);
-        for (line, id) in &open {
-            one.answer(*line, id, "OK", "-", b"out");
+        let _gone: Vec<_> = waiting.into_iter().map(|client| leave(client, 1, way)).collect();
+        std::thread::sleep(AFTER_CLIENT_LEFT);
+        for (connection, id) in &open {
+            host.send_answer(*connection, id, "OK", "-", b"out");
         }
         for client in &mut clients {
-            assert_eq!(client.answer(), (1, 0));
+            assert_eq!(client.next_answer(), (1, 0));
         }
         drop(clients);
-        only_what_is_asked_now_is_sent(&node, &mut one, &format!("{way:?}"));
+        assert_only_new_request_sent(&gateway, &mut host, &format!("{way:?}"));
     }
 }
 
 // Hosts.
 
 #[test]
-fn a_late_second_copy_of_miss_is_not_taken_for_the_word_on_the_next_attempt() {
-    let (_node, mut one, mut client) = played("miss", Node::client);
-    client.ask_as(1, &id(1), "post", "5000");
+fn a_late_duplicate_miss_is_not_taken_for_the_answer_to_the_next_attempt() {
+    let (_gateway, mut host, mut client) = gateway_and_host("miss", Gateway::connect);
+    client.send_request_with_id(1, &id(1), "post", "5000");
     let mut first = None;
     let second = loop {
-        let (line, command) = one.next();
+        let (connection, command) = host.next_command();
         match (command[0].as_str(), first) {
-            ("prewarm", _) => one.answer(line, &command[1], "OK", "instances=1", b""),
+            ("prewarm", _) => host.send_answer(connection, &command[1], "OK", "instances=1", b""),
             ("invoke", None) => {
-                one.answer(line, &id(1), "MISS", "-", b"");
-                first = Some(line);
+                host.send_answer(connection, &id(1), "MISS", "-", b"");
+                first = Some(connection);
             }
-            ("invoke", Some(_)) => break line,
+            ("invoke", Some(_)) => break connection,
             other => panic!("{other:?}"),
         }
     };
     // It runs there now, and the first answer comes a second time.
-    one.answer(first.unwrap(), &id(1), "MISS", "-", b"");
-    while let Some((line, command)) = one.next_within(Duration::from_millis(500)) {
+    host.send_answer(first.unwrap(), &id(1), "MISS", "-", b"");
+    while let Some((connection, command)) = host.next_command_within(Duration::from_millis(500)) {
         assert_ne!(command[0], "invoke", "a post was sent a second time while it runs");
-        one.answer(line, &command[1], "OK", "instances=1", b"");
+        host.send_answer(connection, &command[1], "OK", "instances=1", b"");
     }
-    one.answer(second, &id(1), "OK", "-", b"out");
-    assert_eq!(client.next(), Some(FromGateway::Answer(1, 0, None, b"out".to_vec())));
+    host.send_answer(second, &id(1), "OK", "-", b"out");
+    assert_eq!(client.next_frame(), Some(FromGateway::Answer(1, 0, None, b"out".to_vec())));
 }
 
 #[test]
-fn an_answer_that_breaks_off_fails_a_post_and_one_that_comes_with_the_end_counts() {
+fn a_truncated_answer_fails_a_post_and_a_complete_one_before_the_close_counts() {
     for (way, code) in [("end", 13), ("reset", 13), ("whole", 0)] {
-        let (node, mut one, mut client) = played("load", Node::client);
-        client.ask_as(1, &id(1), "post", "3000");
-        let (line, _) = one.next_of("invoke");
-        node.freeze();
+        let (gateway, mut host, mut client) = gateway_and_host("load", Gateway::connect);
+        client.send_request_with_id(1, &id(1), "post", "3000");
+        let (connection, _) = host.next_command_named("invoke");
+        gateway.pause();
         let whole = b"*4\r\n$16\r\n0000000000000001\r\n$2\r\nOK\r\n$1\r\n-\r\n$3\r\nout\r\n";
         let cut = if way == "whole" { whole.len() } else { whole.len() - 4 };
-        one.bytes(line, &whole[..cut]);
+        host.send_bytes(connection, &whole[..cut]);
         if way == "reset" {
-            one.reset(line)
+            host.reset(connection)
         } else {
-            one.end(line)
+            host.close(connection)
         }
-        node.wake();
-        assert_eq!(client.answer(), (1, code), "{way}");
-        let more = one.next_within(Duration::from_millis(200));
+        gateway.resume();
+        assert_eq!(client.next_answer(), (1, code), "{way}");
+        let more = host.next_command_within(Duration::from_millis(200));
         assert!(more.as_ref().is_none_or(|(_, c)| c[0] != "invoke"), "{way}: {more:?}");
     }
 }
 
 #[test]
-fn a_connection_that_never_comes_up_says_nothing_of_a_host_that_is_heard_on_another() {
-    let (mut one, names) = (Played::narrow(), Directory::new(1));
-    let node = Node::with(&one_host(&one.host(), &names, "load"));
-    let mut clients: Vec<Client> = (1..=4).map(|_| node.client()).collect();
-    clients[0].send(&request(1, &id(1), "check", "5000", F, b"in"));
-    let (line, _) = one.next_of("invoke");
-    one.deaf = true;
+fn a_connection_never_established_does_not_count_against_a_host_that_answers_on_another() {
+    let (mut host, directory) = (ManualHost::with_backlog_of_one(), Directory::new(1));
+    let gateway = Gateway::with_config(&one_host(&host.as_host(), &directory, "load"));
+    let mut clients: Vec<Client> = (1..=4).map(|_| gateway.connect()).collect();
+    clients[0].send_bytes(&request_frame(1, &id(1), "check", "5000", FUNCTION, b"in"));
+    let (connection, _) = host.next_command_named("invoke");
+    host.accepts_paused = true;
     for n in 2..=4 {
-        clients[n as usize - 1].send(&request(1, &id(n), "check", "5000", F, b"in"));
-        node.logged(&format!("run id={}", id(n)));
+        clients[n as usize - 1].send_bytes(&request_frame(1, &id(n), "check", "5000", FUNCTION, b"in"));
+        gateway.wait_for_log(&format!("run id={}", id(n)));
     }
-    one.answer(line, &id(1), "OK", "-", b"out");
-    assert_eq!(clients[0].answer(), (1, 0));
-    let line = node.logged("never_stood=true");
-    assert!(line.contains("no connection in time"), "{line}");
-    let run = node.logged(&format!("run id={}", id(4)));
+    host.send_answer(connection, &id(1), "OK", "-", b"out");
+    assert_eq!(clients[0].next_answer(), (1, 0));
+    let never_up = gateway.wait_for_log("never_stood=true");
+    assert!(never_up.contains("no connection in time"), "{never_up}");
+    let run = gateway.wait_for_log(&format!("run id={}", id(4)));
     let attempt = run.split(' ').find(|word| word.starts_with("attempt=")).unwrap();
-    let ended = node.logged(&format!("ended {attempt} "));
+    let ended = gateway.wait_for_log(&format!("ended {attempt} "));
     assert!(ended.contains("NotWritten"), "{ended}");
 }
 
 #[test]
-fn a_host_that_restarts_under_its_id_is_asked_again_on_a_connection_of_its_own() {
-    let (mut one, names) = (Played::new(), Directory::new(1));
-    let patient = one_host(&one.host(), &names, "load").replace("\"aim\":600000", "\"aim\":4000000");
-    let node = Node::with(&patient);
-    let mut client = node.client();
-    client.ask_as(1, &id(1), "check", "5000");
-    let (old, _) = one.next_of("invoke");
+fn a_request_is_sent_again_on_a_new_connection_when_its_host_restarts_under_the_same_id() {
+    let (mut host, directory) = (ManualHost::new(), Directory::new(1));
+    let long_deadline_config =
+        one_host(&host.as_host(), &directory, "load").replace("\"aim\":600000", "\"aim\":4000000");
+    let gateway = Gateway::with_config(&long_deadline_config);
+    let mut client = gateway.connect();
+    client.send_request_with_id(1, &id(1), "check", "5000");
+    let (old, _) = host.next_command_named("invoke");
     // The process went without a word, and another one has its address: nothing but the list says so.
     // Starts are told in milliseconds: this one is in a later one than the connection.
     std::thread::sleep(Duration::from_millis(5));
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap();
-    names.started(now.as_millis() as u64);
-    names.tell(2, &[("s-1", one.at, 0)]);
-    node.logged("another process");
-    let (new, command) = one.next_of("invoke");
+    directory.set_host_start_time(now.as_millis() as u64);
+    directory.set_hosts(2, &[("s-1", host.address, 0)]);
+    gateway.wait_for_log("another process");
+    let (new, command) = host.next_command_named("invoke");
     assert_eq!((command[1].as_str(), new != old), (id(1).as_str(), true));
-    one.answer(new, &id(1), "OK", "-", b"out");
-    assert_eq!(client.answer(), (1, 0));
-    one.read_to_the_end(old);
+    host.send_answer(new, &id(1), "OK", "-", b"out");
+    assert_eq!(client.next_answer(), (1, 0));
+    host.read_to_end(old);
 }
 
 #[test]
-fn an_address_that_passes_to_another_id_serves_under_that_id_alone() {
-    for turned in [false, true] {
-        let (one, names) = (host(good), Directory::new(1));
-        let node = Node::new(&[("s-1", &one)], &names, "load");
-        let mut client = node.client();
-        client.ask("check", "3000", 1);
-        assert_eq!(client.answer(), (1, 0));
-        let before = host(good);
-        let mut list: Vec<(&str, SocketAddr, u16)> = vec![("s-2", one.at, 0), ("s-3", before.at, 1)];
-        if turned {
+fn an_address_reassigned_to_another_id_serves_only_under_that_id() {
+    for reversed in [false, true] {
+        let (host, directory) = (start_host(answer_ok), Directory::new(1));
+        let gateway = Gateway::new(&[("s-1", &host)], &directory, "load");
+        let mut client = gateway.connect();
+        client.send_request("check", "3000", 1);
+        assert_eq!(client.next_answer(), (1, 0));
+        let before = start_host(answer_ok);
+        let mut list: Vec<(&str, SocketAddr, u16)> =
+            vec![("s-2", host.address, 0), ("s-3", before.address, 1)];
+        if reversed {
             list.reverse();
         }
-        names.tell(5, &list);
-        node.logged("list serial=5");
+        directory.set_hosts(5, &list);
+        gateway.wait_for_log("list serial=5");
         for n in 2..6 {
-            let stream = client.ask("post", "3000", n);
-            assert_eq!(client.answer(), (stream, 0));
+            let stream = client.send_request("post", "3000", n);
+            assert_eq!(client.next_answer(), (stream, 0));
         }
-        assert_eq!((invokes(&one), invokes(&before)), (5, 0));
-        let log = std::fs::read_to_string(node.log()).unwrap();
-        let under = |id: &str| {
+        assert_eq!((invoke_count(&host), invoke_count(&before)), (5, 0));
+        let log = std::fs::read_to_string(gateway.log_path()).unwrap();
+        let runs_on = |id: &str| {
             log.lines().filter(|l| l.contains("run id=") && l.contains(&format!("host={id} "))).count()
         };
-        assert_eq!((under("s-1"), under("s-2"), under("s-3")), (1, 4, 0));
+        assert_eq!((runs_on("s-1"), runs_on("s-2"), runs_on("s-3")), (1, 4, 0));
     }
 }
 
 // The list.
 
 #[test]
-fn after_hup_a_list_that_only_the_new_directory_tells_is_taken_though_a_question_was_out() {
+fn after_hup_the_list_of_the_new_directory_is_used_while_a_query_to_the_old_one_is_open() {
     // The old directory never answers, so a question is out at any time.
-    let (one, two, names, later) = (host(good), host(good), Directory::new(1), Directory::new(1));
-    let hosts = [("s-1".to_owned(), one.at), ("s-2".to_owned(), two.at)];
-    let node = Node::with(&config(&hosts, names.at, "load"));
-    later.tell(3, &[("s-1", one.at, 1), ("s-2", two.at, 0)]);
-    node.freeze();
-    node.configure(&config(&hosts, later.at, "load"));
-    node.signal("-HUP");
-    node.wake();
-    node.logged("list serial=3");
-    let mut client = node.client();
+    let (host_1, host_2, directory, new_directory) =
+        (start_host(answer_ok), start_host(answer_ok), Directory::new(1), Directory::new(1));
+    let hosts = [("s-1".to_owned(), host_1.address), ("s-2".to_owned(), host_2.address)];
+    let gateway = Gateway::with_config(&config(&hosts, directory.address, "load"));
+    new_directory.set_hosts(3, &[("s-1", host_1.address, 1), ("s-2", host_2.address, 0)]);
+    gateway.pause();
+    gateway.write_config(&config(&hosts, new_directory.address, "load"));
+    gateway.signal("-HUP");
+    gateway.resume();
+    gateway.wait_for_log("list serial=3");
+    let mut client = gateway.connect();
     for n in 0..10 {
-        let stream = client.ask("post", "3000", n);
-        assert_eq!(client.answer(), (stream, 0));
+        let stream = client.send_request("post", "3000", n);
+        assert_eq!(client.next_answer(), (stream, 0));
     }
-    assert_eq!((invokes(&one), invokes(&two)), (0, 10));
+    assert_eq!((invoke_count(&host_1), invoke_count(&host_2)), (0, 10));
 }
 
 #[test]
-fn a_directory_that_falls_silent_to_one_socket_is_asked_from_another() {
-    let (one, two, names) = (host(good), host(good), Directory::new(1));
-    names.tell(2, &[("s-1", one.at, 0), ("s-2", two.at, 0)]);
+fn a_directory_that_stops_answering_one_socket_is_queried_from_another() {
+    let (host_1, host_2, directory) = (start_host(answer_ok), start_host(answer_ok), Directory::new(1));
+    directory.set_hosts(2, &[("s-1", host_1.address, 0), ("s-2", host_2.address, 0)]);
     // Each address from which it is asked gets three answers, then none.
-    names.answers_each(3);
-    let node = Node::new(&[("s-1", &one)], &names, "load");
-    node.logged("list serial=2");
+    directory.limit_answers_per_address(3);
+    let gateway = Gateway::new(&[("s-1", &host_1)], &directory, "load");
+    gateway.wait_for_log("list serial=2");
     for serial in 3..6 {
-        names.tell(serial, &[("s-1", one.at, 1), ("s-2", two.at, 0)]);
-        node.logged(&format!("list serial={serial}"));
+        directory.set_hosts(serial, &[("s-1", host_1.address, 1), ("s-2", host_2.address, 0)]);
+        gateway.wait_for_log(&format!("list serial={serial}"));
     }
-    let mut client = node.client();
-    client.ask("check", "3000", 1);
-    assert_eq!(client.answer(), (1, 0));
-    assert_eq!((invokes(&one), invokes(&two)), (0, 1));
+    let mut client = gateway.connect();
+    client.send_request("check", "3000", 1);
+    assert_eq!(client.next_answer(), (1, 0));
+    assert_eq!((invoke_count(&host_1), invoke_count(&host_2)), (0, 1));
 }
 
 #[test]
-fn a_list_that_comes_whole_after_a_silence_takes_out_what_it_does_not_name() {
-    let (one, two, three, names) = (host(good), host(good), host(good), Directory::new(1));
-    let node = Node::new(&[("s-1", &one)], &names, "load");
-    names.tell(2, &[("s-1", one.at, 0), ("s-2", two.at, 0)]);
-    node.logged("list serial=2");
-    names.answers_each(0);
-    node.logged("the directory is silent");
+fn a_full_list_after_a_silence_removes_the_hosts_it_does_not_contain() {
+    let (host_1, host_2, host_3, directory) =
+        (start_host(answer_ok), start_host(answer_ok), start_host(answer_ok), Directory::new(1));
+    let gateway = Gateway::new(&[("s-1", &host_1)], &directory, "load");
+    directory.set_hosts(2, &[("s-1", host_1.address, 0), ("s-2", host_2.address, 0)]);
+    gateway.wait_for_log("list serial=2");
+    directory.limit_answers_per_address(0);
+    gateway.wait_for_log("the directory is silent");
     // Nothing is known of what happens meanwhile, and what is known serves on.
-    ten_are_served(&node, "3000");
-    let before = (invokes(&one), invokes(&two));
+    assert_ten_requests_served(&gateway, "3000");
+    let before = (invoke_count(&host_1), invoke_count(&host_2));
     assert_eq!(before.0 + before.1, 10);
     // Events 3 to 9 are told at once: s-1 is gone without a drain, s-2 drains, s-3 is new.
-    names.tell(9, &[("s-2", two.at, 1), ("s-3", three.at, 0)]);
-    names.answers_each(usize::MAX);
-    node.logged("list serial=9");
-    ten_are_served(&node, "3000");
-    assert_eq!((invokes(&one), invokes(&two), invokes(&three)), (before.0, before.1, 10));
+    directory.set_hosts(9, &[("s-2", host_2.address, 1), ("s-3", host_3.address, 0)]);
+    directory.limit_answers_per_address(usize::MAX);
+    gateway.wait_for_log("list serial=9");
+    assert_ten_requests_served(&gateway, "3000");
+    assert_eq!(
+        (invoke_count(&host_1), invoke_count(&host_2), invoke_count(&host_3)),
+        (before.0, before.1, 10)
+    );
     // Older lists that come late, one, two and ten in a row, change nothing.
     for (times, served) in [(1, 20), (2, 30), (10, 40)] {
-        names.answer_stale(times, 8, &[("s-1", one.at, 0), ("s-2", two.at, 0)]);
-        names.gave_stale();
-        ten_are_served(&node, "3000");
-        assert_eq!((invokes(&one), invokes(&two), invokes(&three)), (before.0, before.1, served));
+        directory.queue_stale_answers(times, 8, &[("s-1", host_1.address, 0), ("s-2", host_2.address, 0)]);
+        directory.wait_until_stale_sent();
+        assert_ten_requests_served(&gateway, "3000");
+        assert_eq!(
+            (invoke_count(&host_1), invoke_count(&host_2), invoke_count(&host_3)),
+            (before.0, before.1, served)
+        );
     }
 }
 
 // Settings of another customer.
 
 #[test]
-fn a_file_that_is_no_configuration_or_another_gateways_changes_nothing_on_hup() {
-    let (one, other, names, wrong) = (host(good), host(good), Directory::new(1), Directory::new(1));
-    let sound = one_host(&one, &names, "load");
-    let node = Node::with(&sound);
-    wrong.tell(9, &[("s-9", other.at, 0)]);
+fn an_invalid_configuration_or_one_of_another_gateway_is_ignored_on_hup() {
+    let (host, other, directory, wrong) =
+        (start_host(answer_ok), start_host(answer_ok), Directory::new(1), Directory::new(1));
+    let valid_config = one_host(&host, &directory, "load");
+    let gateway = Gateway::with_config(&valid_config);
+    wrong.set_hosts(9, &[("s-9", other.address, 0)]);
     let elsewhere = one_host(&other, &wrong, "load");
     let files = [
         String::new(),
@@ -1130,31 +1158,31 @@
         elsewhere.replace("\"profiles\"", "\"classes\""),
     ];
     for (n, file) in files.iter().enumerate() {
-        node.configure(file);
-        node.signal("-HUP");
-        let said = || {
-            let log = std::fs::read_to_string(node.log()).unwrap();
+        gateway.write_config(file);
+        gateway.signal("-HUP");
+        let output = || {
+            let log = std::fs::read_to_string(gateway.log_path()).unwrap();
             log.lines().filter(|line| line.contains("the configuration stays as it was")).count()
         };
-        let end = std::time::Instant::now() + peers::PATIENCE;
-        while said() <= n {
+        let end = std::time::Instant::now() + peers::TEST_TIMEOUT;
+        while output() <= n {
             assert!(std::time::Instant::now() < end, "file {n} was taken");
             std::thread::sleep(Duration::from_millis(2));
         }
     }
     // The directory is the one it had.
-    names.tell(2, &[("s-1", one.at, 0)]);
-    node.logged("list serial=2");
-    let mut client = node.client();
-    client.ask("check", "3000", 1);
-    assert_eq!(client.answer(), (1, 0));
-    assert_eq!(invokes(&other), 0);
+    directory.set_hosts(2, &[("s-1", host.address, 0)]);
+    gateway.wait_for_log("list serial=2");
+    let mut client = gateway.connect();
+    client.send_request("check", "3000", 1);
+    assert_eq!(client.next_answer(), (1, 0));
+    assert_eq!(invoke_count(&other), 0);
 }
 
 #[test]
-fn a_configuration_that_cant_be_used_ends_with_2_and_one_line_that_names_the_setting() {
-    let (one, names) = (host(good), Directory::new(1));
-    let sound = one_host(&one, &names, "load");
+fn an_unusable_configuration_exits_with_2_and_one_line_that_names_the_setting() {
+    let (host, directory) = (start_host(answer_ok), Directory::new(1));
+    let valid_config = one_host(&host, &directory, "load");
     for (from, to, named) in [
         ("\"profiles\"", "\"classes\"", "profiles"),
         ("\"tick\":2000", "\"tick\":0", "tick"),
@@ -1166,24 +1194,25 @@
         ("\"memory_mb\":64", "\"memory_mb\":-1", "memory_mb"),
         ("\"keep_alive\":10000000", "\"keep_alive\":18446744073709551615", "keep_alive"),
     ] {
-        assert!(sound.contains(from));
+        assert!(valid_config.contains(from));
         let folder = tempfile::tempdir().unwrap();
         let file = folder.path().join("config.json");
-        std::fs::write(&file, sound.replace(from, to)).unwrap();
+        std::fs::write(&file, valid_config.replace(from, to)).unwrap();
         let mut command = std::process::Command::new(env!("CARGO_BIN_EXE_cresswheel"));
         let done = command.arg("platform").env("NODE_CONFIG", &file).output().unwrap();
-        let said = String::from_utf8_lossy(&done.stderr).into_owned();
-        assert_eq!(done.status.code(), Some(2), "{to}: {said}");
-        assert!(said.lines().count() == 1 && said.contains(named), "{to}: {said}");
+        let output = String::from_utf8_lossy(&done.stderr).into_owned();
+        assert_eq!(done.status.code(), Some(2), "{to}: {output}");
+        assert!(output.lines().count() == 1 && output.contains(named), "{to}: {output}");
     }
 }
 
 #[test]
-fn an_answer_held_back_past_a_clients_time_is_made_up_for_by_one_of_our_own() {
-    let script = |word: &str, _: usize| if word == "invoke" { Do::Nothing } else { good(word, 0) };
-    let (one, names) = (host(script), Directory::new(1));
-    let node = Node::new(&[("s-1", &one)], &names, "load");
-    let mut client = node.client();
-    client.ask("post", "400", 1);
-    assert_eq!(client.answer(), (1, 13), "it may have run");
+fn a_request_not_answered_within_its_client_timeout_gets_an_answer_from_the_gateway() {
+    let script =
+        |word: &str, _: usize| if word == "invoke" { HostAction::Nothing } else { answer_ok(word, 0) };
+    let (host, directory) = (start_host(script), Directory::new(1));
+    let gateway = Gateway::new(&[("s-1", &host)], &directory, "load");
+    let mut client = gateway.connect();
+    client.send_request("post", "400", 1);
+    assert_eq!(client.next_answer(), (1, 13), "it may have run");
 }
--- a/crates/cli/tests/peers/mod.rs
+++ b/crates/cli/tests/peers/mod.rs
@@ -19,87 +19,87 @@
 use cresswheel_protocol::{Listed, Standing};
 
 /// Nothing in these tests takes as long; what does is a failure.
-pub const PATIENCE: Duration = Duration::from_secs(20);
-pub const F: &str = "7f3a9c21e0b4d655";
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
+pub const FUNCTION: &str = "7f3a9c21e0b4d655";
 
 /// What a host does with a command.
-pub enum Do {
+pub enum HostAction {
     Answer(&'static str, &'static str, &'static [u8]),
     Bytes(&'static [u8]),
     /// Ends the connection in good order.
-    End,
+    Close,
     Nothing,
 }
 
-pub type Script = Arc<dyn Fn(&str, usize) -> Do + Send + Sync>;
+pub type HostScript = Arc<dyn Fn(&str, usize) -> HostAction + Send + Sync>;
 
 /// A host: answers by a script, which is told the command's first word and how often that came before.
 pub struct Host {
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     /// `word id-or-tag` of each command.
-    pub seen: Arc<Mutex<Vec<String>>>,
+    pub commands: Arc<Mutex<Vec<String>>>,
 }
 
-pub fn host(script: impl Fn(&str, usize) -> Do + Send + Sync + 'static) -> Host {
+pub fn start_host(script: impl Fn(&str, usize) -> HostAction + Send + Sync + 'static) -> Host {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let at = listener.local_addr().unwrap();
-    let seen: Arc<Mutex<Vec<String>>> = Arc::default();
-    let (script, noted): (Script, _) = (Arc::new(script), seen.clone());
+    let address = listener.local_addr().unwrap();
+    let commands: Arc<Mutex<Vec<String>>> = Arc::default();
+    let (script, log): (HostScript, _) = (Arc::new(script), commands.clone());
     std::thread::spawn(move || {
         for socket in listener.incoming() {
-            let (script, noted) = (script.clone(), noted.clone());
-            std::thread::spawn(move || talk(socket.unwrap(), &script, &noted));
+            let (script, log) = (script.clone(), log.clone());
+            std::thread::spawn(move || serve_connection(socket.unwrap(), &script, &log));
         }
     });
-    Host { at, seen }
+    Host { address, commands }
 }
 
-pub fn talk(mut socket: TcpStream, script: &Script, seen: &Mutex<Vec<String>>) {
-    let (mut held, mut part) = (Vec::new(), [0; 4096]);
+pub fn serve_connection(mut socket: TcpStream, script: &HostScript, commands: &Mutex<Vec<String>>) {
+    let (mut received, mut chunk) = (Vec::new(), [0; 4096]);
     loop {
-        while let Some(command) = take_command(&mut held).expect("commands") {
+        while let Some(command) = take_command(&mut received).expect("commands") {
             let text = |n: usize| String::from_utf8_lossy(command.get(n).map_or(&[], |p| p)).into_owned();
             let (word, id) = (text(0), text(1));
             let before = {
-                let mut seen = seen.lock().unwrap();
-                let before = seen.iter().filter(|line| line.starts_with(&word)).count();
-                seen.push(format!("{word} {id}"));
+                let mut commands = commands.lock().unwrap();
+                let before = commands.iter().filter(|line| line.starts_with(&word)).count();
+                commands.push(format!("{word} {id}"));
                 before
             };
             let mut out = Vec::new();
             match script(&word, before) {
-                Do::Answer(word, fields, body) => encode_answer(&mut out, &id, word, fields, body),
-                Do::Bytes(bytes) => out.extend_from_slice(bytes),
-                Do::End => return,
-                Do::Nothing => {}
+                HostAction::Answer(word, fields, body) => encode_answer(&mut out, &id, word, fields, body),
+                HostAction::Bytes(bytes) => out.extend_from_slice(bytes),
+                HostAction::Close => return,
+                HostAction::Nothing => {}
             }
             if socket.write_all(&out).is_err() {
                 return;
             }
         }
-        match socket.read(&mut part) {
+        match socket.read(&mut chunk) {
             Ok(0) | Err(_) => return,
-            Ok(count) => held.extend_from_slice(&part[..count]),
+            Ok(count) => received.extend_from_slice(&chunk[..count]),
         }
     }
 }
 
-pub fn good(word: &str, _: usize) -> Do {
+pub fn answer_ok(word: &str, _: usize) -> HostAction {
     match word {
-        "invoke" => Do::Answer("OK", "rivals=1", b"out"),
-        "prewarm" => Do::Answer("OK", "instances=1", b""),
-        _ => Do::Nothing,
+        "invoke" => HostAction::Answer("OK", "rivals=1", b"out"),
+        "prewarm" => HostAction::Answer("OK", "instances=1", b""),
+        _ => HostAction::Nothing,
     }
 }
 
 /// A serial, and hosts with their priorities.
-pub type Answer = (u32, Vec<(String, SocketAddr, u16)>);
-pub type List = Arc<Mutex<Answer>>;
+pub type HostList = (u32, Vec<(String, SocketAddr, u16)>);
+pub type SharedHostList = Arc<Mutex<HostList>>;
 
 /// An old list that is given in place of the current one.
 #[derive(Debug)]
-struct Stale {
-    answer: Answer,
+struct StaleAnswer {
+    answer: HostList,
     /// The directory says nothing more after it.
     then_silent: bool,
 }
@@ -107,87 +107,92 @@
 /// A directory; it says nothing until it has hosts to tell of.
 #[derive(Clone)]
 pub struct Directory {
-    pub at: SocketAddr,
-    pub list: List,
+    pub address: SocketAddr,
+    pub list: SharedHostList,
     /// Given first, one for each question.
-    stale: Arc<Mutex<VecDeque<Stale>>>,
-    most: Arc<AtomicUsize>,
-    started: Arc<AtomicU64>,
+    stale: Arc<Mutex<VecDeque<StaleAnswer>>>,
+    answer_limit: Arc<AtomicUsize>,
+    host_start_ms: Arc<AtomicU64>,
     delay_ms: Arc<AtomicU64>,
 }
 
 impl Directory {
     pub fn new(serial: u32) -> Self {
         let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
-        let at = socket.local_addr().unwrap();
-        let list: List = Arc::new(Mutex::new((serial, vec![])));
-        let told = list.clone();
-        let stale: Arc<Mutex<VecDeque<Stale>>> = Arc::default();
-        let stale_first = stale.clone();
-        let most = Arc::new(AtomicUsize::new(usize::MAX));
-        let answers = most.clone();
-        let started = Arc::new(AtomicU64::new(0));
-        let began = started.clone();
+        let address = socket.local_addr().unwrap();
+        let list: SharedHostList = Arc::new(Mutex::new((serial, vec![])));
+        let current_list = list.clone();
+        let stale: Arc<Mutex<VecDeque<StaleAnswer>>> = Arc::default();
+        let pending_stale = stale.clone();
+        let answer_limit = Arc::new(AtomicUsize::new(usize::MAX));
+        let limit = answer_limit.clone();
+        let host_start_ms = Arc::new(AtomicU64::new(0));
+        let start_ms = host_start_ms.clone();
         let delay_ms = Arc::new(AtomicU64::new(0));
         let delay = delay_ms.clone();
         std::thread::spawn(move || {
             let mut bytes = [0; 512];
-            let mut given: HashMap<SocketAddr, usize> = HashMap::new();
+            let mut sent_by_address: HashMap<SocketAddr, usize> = HashMap::new();
             while let Ok((count, from)) = socket.recv_from(&mut bytes) {
-                let asked = answer_id(&bytes[..count]).unwrap();
-                let times = given.entry(from).or_insert(0);
-                let current = told.lock().unwrap().clone();
-                if !current.1.is_empty() && *times < answers.load(Ordering::SeqCst) {
-                    *times += 1;
-                    let (serial, hosts) = match stale_first.lock().unwrap().pop_front() {
-                        Some(Stale { answer, then_silent }) => {
-                            answers.fetch_min(if then_silent { 0 } else { usize::MAX }, Ordering::SeqCst);
+                let query_id = answer_id(&bytes[..count]).unwrap();
+                let sent = sent_by_address.entry(from).or_insert(0);
+                let current = current_list.lock().unwrap().clone();
+                if !current.1.is_empty() && *sent < limit.load(Ordering::SeqCst) {
+                    *sent += 1;
+                    let (serial, hosts) = match pending_stale.lock().unwrap().pop_front() {
+                        Some(StaleAnswer { answer, then_silent }) => {
+                            limit.fetch_min(if then_silent { 0 } else { usize::MAX }, Ordering::SeqCst);
                             answer
                         }
                         None => current,
                     };
-                    let bytes = answer(asked, serial, &hosts, began.load(Ordering::SeqCst));
-                    send_later(&socket, from, bytes, Duration::from_millis(delay.load(Ordering::SeqCst)));
+                    let bytes = encode_host_list(query_id, serial, &hosts, start_ms.load(Ordering::SeqCst));
+                    send_after(&socket, from, bytes, Duration::from_millis(delay.load(Ordering::SeqCst)));
                 }
             }
         });
-        Self { at, list, stale, most, started, delay_ms }
+        Self { address, list, stale, answer_limit, host_start_ms, delay_ms }
     }
 
     /// From now on each answer tells what held when it was asked for, and leaves that much later.
-    pub fn answers_after(&self, delay: Duration) {
+    pub fn set_answer_delay(&self, delay: Duration) {
         self.delay_ms.store(delay.as_millis() as u64, Ordering::SeqCst);
     }
 
     /// From now on each address that asks gets so many answers at most.
-    pub fn answers_each(&self, most: usize) {
-        self.most.store(most, Ordering::SeqCst);
+    pub fn limit_answers_per_address(&self, most: usize) {
+        self.answer_limit.store(most, Ordering::SeqCst);
     }
 
     /// From now on all hosts are told to have started at that Unix millisecond.
-    pub fn started(&self, unix_ms: u64) {
-        self.started.store(unix_ms, Ordering::SeqCst);
+    pub fn set_host_start_time(&self, unix_ms: u64) {
+        self.host_start_ms.store(unix_ms, Ordering::SeqCst);
     }
 
-    pub fn tell(&self, serial: u32, hosts: &[(&str, SocketAddr, u16)]) {
-        *self.list.lock().unwrap() = (serial, owned(hosts));
+    pub fn set_hosts(&self, serial: u32, hosts: &[(&str, SocketAddr, u16)]) {
+        *self.list.lock().unwrap() = (serial, to_owned_hosts(hosts));
     }
 
     /// The next so many questions are answered with this old list, and with what is told again after that.
-    pub fn answer_stale(&self, times: usize, serial: u32, hosts: &[(&str, SocketAddr, u16)]) {
-        let old = |_| Stale { answer: (serial, owned(hosts)), then_silent: false };
-        self.stale.lock().unwrap().extend((0..times).map(old));
+    pub fn queue_stale_answers(&self, times: usize, serial: u32, hosts: &[(&str, SocketAddr, u16)]) {
+        let stale = |_| StaleAnswer { answer: (serial, to_owned_hosts(hosts)), then_silent: false };
+        self.stale.lock().unwrap().extend((0..times).map(stale));
     }
 
     /// The same, and then it says nothing more.
-    pub fn answer_stale_then_nothing(&self, times: usize, serial: u32, hosts: &[(&str, SocketAddr, u16)]) {
-        let old = |n| Stale { answer: (serial, owned(hosts)), then_silent: n == times };
-        self.stale.lock().unwrap().extend((1..=times).map(old));
+    pub fn queue_stale_answers_then_silence(
+        &self,
+        times: usize,
+        serial: u32,
+        hosts: &[(&str, SocketAddr, u16)],
+    ) {
+        let stale = |n| StaleAnswer { answer: (serial, to_owned_hosts(hosts)), then_silent: n == times };
+        self.stale.lock().unwrap().extend((1..=times).map(stale));
     }
 
     /// Waits until every old list has been given.
-    pub fn gave_stale(&self) {
-        let end = Instant::now() + PATIENCE;
+    pub fn wait_until_stale_sent(&self) {
+        let end = Instant::now() + TEST_TIMEOUT;
         while !self.stale.lock().unwrap().is_empty() {
             assert!(Instant::now() < end, "nobody asks");
             std::thread::sleep(Duration::from_millis(1));
@@ -195,11 +200,11 @@
     }
 }
 
-fn owned(hosts: &[(&str, SocketAddr, u16)]) -> Vec<(String, SocketAddr, u16)> {
-    hosts.iter().map(|(id, at, priority)| ((*id).to_owned(), *at, *priority)).collect()
+fn to_owned_hosts(hosts: &[(&str, SocketAddr, u16)]) -> Vec<(String, SocketAddr, u16)> {
+    hosts.iter().map(|(id, address, priority)| ((*id).to_owned(), *address, *priority)).collect()
 }
 
-fn send_later(socket: &UdpSocket, to: SocketAddr, bytes: Vec<u8>, delay: Duration) {
+fn send_after(socket: &UdpSocket, to: SocketAddr, bytes: Vec<u8>, delay: Duration) {
     if delay.is_zero() {
         // Whoever asked may have closed its socket since; that is no error of this side.
         let _ = socket.send_to(&bytes, to);
@@ -212,44 +217,44 @@
     });
 }
 
-pub fn answer(id: u16, serial: u32, hosts: &[(String, SocketAddr, u16)], started: u64) -> Vec<u8> {
-    let listed = hosts.iter().map(|(id, at, priority)| Listed {
+pub fn encode_host_list(id: u16, serial: u32, hosts: &[(String, SocketAddr, u16)], start_ms: u64) -> Vec<u8> {
+    let listed = hosts.iter().map(|(id, address, priority)| Listed {
         id: id.clone(),
-        address: at.to_string(),
+        address: address.to_string(),
         zone: "east".into(),
         kind: "std".into(),
         cell: 1,
         standing: if *priority == 0 { Standing::In } else { Standing::Draining },
-        started: started * 1_000,
+        started: start_ms * 1_000,
     });
     encode_listing(id, &Listing { serial: u64::from(serial), hosts: listed.collect() }).unwrap()
 }
 
-pub struct Node {
+pub struct Gateway {
     pub child: Child,
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     pub folder: tempfile::TempDir,
     pub hosts: Vec<(String, SocketAddr)>,
-    pub absent: &'static str,
+    pub when_absent: &'static str,
 }
 
-impl Drop for Node {
+impl Drop for Gateway {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
         if std::thread::panicking() {
-            eprintln!("{}", std::fs::read_to_string(self.log()).unwrap_or_default());
+            eprintln!("{}", std::fs::read_to_string(self.log_path()).unwrap_or_default());
         }
     }
 }
 
-pub fn config(hosts: &[(String, SocketAddr)], names: SocketAddr, absent: &str) -> String {
+pub fn config(hosts: &[(String, SocketAddr)], directory: SocketAddr, when_absent: &str) -> String {
     let mut members = String::new();
-    for (id, at) in hosts {
+    for (id, address) in hosts {
         let comma = if members.is_empty() { "" } else { "," };
         let _ = write!(
             members,
-            "{comma}{{\"id\":\"{id}\",\"host_port\":\"{at}\",\"locality\":\"east\",\"flavor\":\"std\",\"cell\":1,\
+            "{comma}{{\"id\":\"{id}\",\"host_port\":\"{address}\",\"locality\":\"east\",\"flavor\":\"std\",\"cell\":1,\
              \"phase\":\"Ready\",\"size\":4,\"up_since_ms\":0}}"
         );
     }
@@ -259,14 +264,14 @@
         )
     };
     format!(
-        "{{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"seed\":\"01\",\"names\":\"{names}\",\
+        "{{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"seed\":\"01\",\"names\":\"{directory}\",\
          \"limits\":{{\"cores\":1.0,\"memory_mb\":64,\"sockets\":256}},\
          \"known\":{{\"pos\":1,\"entries\":[{{\"pos\":1,\"hosts\":{{\"revision\":1,\"complete\":true,\
          \"members\":[{members}]}}}}]}},\
          \"settings\":{{\"balancers\":1,\"tick\":2000,\"profiles\":[{},{}],\
          \"limits\":{{\"max_attempts\":5,\"cancel\":true,\"connect_timeout\":250000,\"retry_after\":true,\
          \"max_retry_after\":2000000}},\"rules\":{{\"drain_grace\":1000000}},\
-         \"specifics\":{{\"may_load\":true,\"when_absent\":\"{absent}\",\"keep_alive\":10000000,\
+         \"specifics\":{{\"may_load\":true,\"when_absent\":\"{when_absent}\",\"keep_alive\":10000000,\
          \"load_wait\":10000000}}}}}}",
         class("check", "idempotent"),
         class("post", "at_most_once")
@@ -275,118 +280,125 @@
 
 /// The log of a process, which may be left unread.
 pub struct LogPipe {
-    is_read: Arc<AtomicBool>,
+    reading: Arc<AtomicBool>,
 }
 
 impl LogPipe {
-    pub fn read(&self, is_read: bool) {
-        self.is_read.store(is_read, Ordering::SeqCst);
+    pub fn set_reading(&self, reading: bool) {
+        self.reading.store(reading, Ordering::SeqCst);
     }
 }
 
-fn copy_while(mut log: impl Read, mut file: std::fs::File, wanted: &AtomicBool) {
-    let mut part = [0; 4096];
+fn copy_log_while(mut log: impl Read, mut file: std::fs::File, reading: &AtomicBool) {
+    let mut chunk = [0; 4096];
     loop {
-        if !wanted.load(Ordering::SeqCst) {
+        if !reading.load(Ordering::SeqCst) {
             std::thread::sleep(Duration::from_millis(1));
             continue;
         }
-        match log.read(&mut part) {
+        match log.read(&mut chunk) {
             Ok(0) | Err(_) => return,
-            Ok(count) => file.write_all(&part[..count]).unwrap(),
+            Ok(count) => file.write_all(&chunk[..count]).unwrap(),
         }
     }
 }
 
-impl Node {
-    pub fn new(hosts: &[(&str, &Host)], names: &Directory, absent: &'static str) -> Self {
+impl Gateway {
+    pub fn new(hosts: &[(&str, &Host)], directory: &Directory, when_absent: &'static str) -> Self {
         let mut command = Command::new(env!("CARGO_BIN_EXE_cresswheel"));
         command.args(["--log", "debug", "platform"]);
-        Self::start(command, hosts, names, absent)
+        Self::start(command, hosts, directory, when_absent)
     }
 
-    pub fn start(command: Command, hosts: &[(&str, &Host)], names: &Directory, absent: &'static str) -> Self {
-        let hosts: Vec<_> = hosts.iter().map(|(id, host)| ((*id).to_owned(), host.at)).collect();
-        let mut node = Self::of(command, &config(&hosts, names.at, absent)).listens();
-        (node.hosts, node.absent) = (hosts, absent);
-        node
+    pub fn start(
+        command: Command,
+        hosts: &[(&str, &Host)],
+        directory: &Directory,
+        when_absent: &'static str,
+    ) -> Self {
+        let hosts: Vec<_> = hosts.iter().map(|(id, host)| ((*id).to_owned(), host.address)).collect();
+        let mut gateway =
+            Self::spawn(command, &config(&hosts, directory.address, when_absent)).wait_until_listening();
+        (gateway.hosts, gateway.when_absent) = (hosts, when_absent);
+        gateway
     }
 
     /// One with this configuration.
-    pub fn with(config: &str) -> Self {
-        Self::begun(config).listens()
+    pub fn with_config(config: &str) -> Self {
+        Self::spawn_with_config(config).wait_until_listening()
     }
 
     /// The same, which may not listen yet.
-    pub fn begun(config: &str) -> Self {
+    pub fn spawn_with_config(config: &str) -> Self {
         let mut command = Command::new(env!("CARGO_BIN_EXE_cresswheel"));
         command.args(["--log", "debug", "platform"]);
-        Self::of(command, config)
+        Self::spawn(command, config)
     }
 
     /// One that the system lets open so many descriptors, whatever its configuration says.
-    pub fn with_descriptors(config: &str, most: usize) -> Self {
+    pub fn with_descriptor_limit(config: &str, limit: usize) -> Self {
         let mut shell = Command::new("/bin/sh");
-        let run = format!("ulimit -n {most}; exec {} --log debug platform", env!("CARGO_BIN_EXE_cresswheel"));
+        let run =
+            format!("ulimit -n {limit}; exec {} --log debug platform", env!("CARGO_BIN_EXE_cresswheel"));
         shell.args(["-c", &run]);
-        Self::of(shell, config).listens()
+        Self::spawn(shell, config).wait_until_listening()
     }
 
     /// One whose log goes through a pipe that is read only while the test wants it to be: once the pipe is full, the
     /// process stands where it is, in the middle of its turn.
-    pub fn piped(config: &str) -> (Self, LogPipe) {
+    pub fn with_piped_log(config: &str) -> (Self, LogPipe) {
         let (reader, writer) = std::io::pipe().unwrap();
         let mut command = Command::new(env!("CARGO_BIN_EXE_cresswheel"));
         command.args(["--log", "debug", "platform"]);
-        let node = Self::logging_to(command, config, |_| writer.into());
-        let is_read = Arc::new(AtomicBool::new(true));
-        let (log, wanted) = (node.log(), is_read.clone());
+        let gateway = Self::spawn_logging_to(command, config, |_| writer.into());
+        let reading = Arc::new(AtomicBool::new(true));
+        let (log, reading_flag) = (gateway.log_path(), reading.clone());
         let file = std::fs::File::create(log).unwrap();
-        std::thread::spawn(move || copy_while(reader, file, &wanted));
-        (node.listens(), LogPipe { is_read })
+        std::thread::spawn(move || copy_log_while(reader, file, &reading_flag));
+        (gateway.wait_until_listening(), LogPipe { reading })
     }
 
-    fn of(command: Command, config: &str) -> Self {
-        Self::logging_to(command, config, |log| std::fs::File::create(log).unwrap().into())
+    fn spawn(command: Command, config: &str) -> Self {
+        Self::spawn_logging_to(command, config, |log| std::fs::File::create(log).unwrap().into())
     }
 
-    fn logging_to(mut command: Command, config: &str, log: impl FnOnce(&Path) -> Stdio) -> Self {
+    fn spawn_logging_to(mut command: Command, config: &str, log: impl FnOnce(&Path) -> Stdio) -> Self {
         let folder = tempfile::tempdir().unwrap();
         let file = folder.path().join("config.json");
         std::fs::write(&file, config).unwrap();
         let log = log(&folder.path().join("log"));
         let child = command.env("NODE_CONFIG", &file).stdin(Stdio::null()).stderr(log).spawn().unwrap();
-        let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
-        Self { child, at: nowhere, folder, hosts: Vec::new(), absent: "" }
+        let unbound = SocketAddr::from(([127, 0, 0, 1], 0));
+        Self { child, address: unbound, folder, hosts: Vec::new(), when_absent: "" }
     }
 
     /// Waits until it listens.
-    pub fn listens(mut self) -> Self {
-        let line = self.logged("listens address=");
-        self.at = line.rsplit('=').next().unwrap().parse().unwrap();
+    pub fn wait_until_listening(mut self) -> Self {
+        let line = self.wait_for_log("listens address=");
+        self.address = line.rsplit('=').next().unwrap().parse().unwrap();
         self
     }
 
-    pub fn log(&self) -> PathBuf {
+    pub fn log_path(&self) -> PathBuf {
         self.folder.path().join("log")
     }
 
     /// Waits until the log has a line with these words.
-    pub fn logged(&self, words: &str) -> String {
-        self.logged_times(words, 1)
+    pub fn wait_for_log(&self, text: &str) -> String {
+        self.wait_for_log_count(text, 1)
     }
 
     /// Waits until it has so many; gives the last of them.
-    pub fn logged_times(&self, words: &str, times: usize) -> String {
-        let end = Instant::now() + PATIENCE;
+    pub fn wait_for_log_count(&self, text: &str, times: usize) -> String {
+        let end = Instant::now() + TEST_TIMEOUT;
         loop {
-            let log = std::fs::read_to_string(self.log()).unwrap();
+            let log = std::fs::read_to_string(self.log_path()).unwrap();
             // The last line may not be whole yet.
             let whole = log.rsplit_once('\n').map_or("", |(whole, _)| whole);
-            if let Some(line) = whole.lines().filter(|line| line.contains(words)).nth(times - 1) {
+            if let Some(line) = whole.lines().filter(|line| line.contains(text)).nth(times - 1) {
                 return line.to_owned();
             }
-            assert!(Instant::now() < end, "the log never said {words:?}:\n{log}");
+            assert!(Instant::now() < end, "the log never said {text:?}:\n{log}");
             std::thread::sleep(Duration::from_millis(5));
         }
     }
@@ -397,14 +409,14 @@
     }
 
     /// Replaces its configuration.
-    pub fn configure(&self, config: &str) {
+    pub fn write_config(&self, config: &str) {
         std::fs::write(self.folder.path().join("config.json"), config).unwrap();
     }
 
     /// Stops the process where it stands: what others do now comes to it all at once when it is woken.
-    pub fn freeze(&self) {
+    pub fn pause(&self) {
         self.signal("-STOP");
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + TEST_TIMEOUT;
         let stat = format!("/proc/{}/stat", self.child.id());
         while !std::fs::read_to_string(&stat).unwrap().rsplit(')').next().unwrap().starts_with(" T") {
             assert!(Instant::now() < end, "it never stopped");
@@ -412,26 +424,26 @@
         }
     }
 
-    pub fn wake(&self) {
+    pub fn resume(&self) {
         self.signal("-CONT");
     }
 
-    pub fn client(&self) -> Client {
-        Client::of(TcpStream::connect(self.at).unwrap())
+    pub fn connect(&self) -> Client {
+        Client::from_socket(TcpStream::connect(self.address).unwrap())
     }
 
     /// A client for which the kernel holds some tens of kilobytes at most until it reads: its window and its segments
     /// are small, and with them the buffer at the gateway's side.
-    pub fn narrow_client(&self) -> Client {
+    pub fn connect_with_small_buffers(&self) -> Client {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.set_recv_buffer_size(4 << 10).unwrap();
         socket.set_tcp_mss(536).unwrap();
-        socket.connect(&self.at.into()).unwrap();
-        Client::of(socket.into())
+        socket.connect(&self.address.into()).unwrap();
+        Client::from_socket(socket.into())
     }
 
-    pub fn ends(&mut self) -> Option<i32> {
-        let end = Instant::now() + PATIENCE;
+    pub fn wait_for_exit(&mut self) -> Option<i32> {
+        let end = Instant::now() + TEST_TIMEOUT;
         loop {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status.code();
@@ -444,44 +456,44 @@
 
 pub struct Client {
     pub socket: TcpStream,
-    pub held: Vec<u8>,
-    next: u32,
+    pub received: Vec<u8>,
+    next_stream: u32,
 }
 
 impl Client {
-    pub fn of(socket: TcpStream) -> Self {
-        socket.set_read_timeout(Some(PATIENCE)).unwrap();
-        Self { socket, held: Vec::new(), next: 0 }
+    pub fn from_socket(socket: TcpStream) -> Self {
+        socket.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+        Self { socket, received: Vec::new(), next_stream: 0 }
     }
 
     /// Asks; the stream is the number of the request on this connection, and the id is made from it and `salt`.
-    pub fn ask(&mut self, class: &str, wait: &str, salt: u64) -> u32 {
-        self.next += 1;
-        let id = format!("{:08x}{:08x}", salt, self.next);
-        self.ask_as(self.next, &id, class, wait);
-        self.next
+    pub fn send_request(&mut self, class: &str, wait: &str, salt: u64) -> u32 {
+        self.next_stream += 1;
+        let id = format!("{:08x}{:08x}", salt, self.next_stream);
+        self.send_request_with_id(self.next_stream, &id, class, wait);
+        self.next_stream
     }
 
-    pub fn ask_as(&mut self, stream: u32, id: &str, class: &str, wait: &str) {
-        self.send(&request(stream, id, class, wait, F, b"in"));
+    pub fn send_request_with_id(&mut self, stream: u32, id: &str, class: &str, wait: &str) {
+        self.send_bytes(&request_frame(stream, id, class, wait, FUNCTION, b"in"));
     }
 
     /// Asks as `ask` does, on a connection that may have ended; whether all of it was written.
-    pub fn try_ask(&mut self, class: &str, wait: &str, salt: u64) -> bool {
-        self.next += 1;
-        let id = format!("{:08x}{:08x}", salt, self.next);
-        self.socket.write_all(&request(self.next, &id, class, wait, F, b"in")).is_ok()
+    pub fn try_send_request(&mut self, class: &str, wait: &str, salt: u64) -> bool {
+        self.next_stream += 1;
+        let id = format!("{:08x}{:08x}", salt, self.next_stream);
+        self.socket.write_all(&request_frame(self.next_stream, &id, class, wait, FUNCTION, b"in")).is_ok()
     }
 
-    pub fn send(&mut self, bytes: &[u8]) {
+    pub fn send_bytes(&mut self, bytes: &[u8]) {
         self.socket.write_all(bytes).unwrap();
     }
 
     /// Takes back what was asked on a stream.
-    pub fn take_back(&mut self, stream: u32) {
-        let mut out = Vec::new();
-        encode_bare(&mut out, false, stream);
-        self.send(&out);
+    pub fn cancel(&mut self, stream: u32) {
+        let mut bytes = Vec::new();
+        encode_bare(&mut bytes, false, stream);
+        self.send_bytes(&bytes);
     }
 
     /// Closes with a reset.
@@ -490,15 +502,15 @@
     }
 
     /// The next frame; `None`: the connection has ended.
-    pub fn next(&mut self) -> Option<FromGateway> {
+    pub fn next_frame(&mut self) -> Option<FromGateway> {
         loop {
-            if let Some(frame) = take_from_gateway(&mut self.held).unwrap() {
+            if let Some(frame) = take_from_gateway(&mut self.received).unwrap() {
                 return Some(frame);
             }
-            let mut part = [0; 4096];
-            match self.socket.read(&mut part) {
+            let mut chunk = [0; 4096];
+            match self.socket.read(&mut chunk) {
                 Ok(0) => return None,
-                Ok(count) => self.held.extend_from_slice(&part[..count]),
+                Ok(count) => self.received.extend_from_slice(&chunk[..count]),
                 Err(error) if error.kind() == std::io::ErrorKind::ConnectionReset => return None,
                 Err(error) if error.kind() == std::io::ErrorKind::Interrupted => {}
                 Err(error) => panic!("{error}"),
@@ -507,9 +519,9 @@
     }
 
     /// The next answer: its stream and its code.
-    pub fn answer(&mut self) -> (u32, u8) {
+    pub fn next_answer(&mut self) -> (u32, u8) {
         loop {
-            match self.next().expect("an answer") {
+            match self.next_frame().expect("an answer") {
                 FromGateway::Answer(stream, code, ..) => return (stream, code),
                 FromGateway::Leaving => {}
                 other => panic!("{other:?}"),
@@ -519,7 +531,7 @@
 }
 
 /// The bytes of a request.
-pub fn request(stream: u32, id: &str, class: &str, wait: &str, function: &str, body: &[u8]) -> Vec<u8> {
+pub fn request_frame(stream: u32, id: &str, class: &str, wait: &str, function: &str, body: &[u8]) -> Vec<u8> {
     let fields = [
         ("class", class),
         ("id", id),
@@ -533,77 +545,78 @@
 }
 
 /// A host of which the test speaks every word itself, on each of its connections.
-pub struct Played {
+pub struct ManualHost {
     listener: TcpListener,
-    pub at: SocketAddr,
-    lines: Vec<Option<(TcpStream, Vec<u8>)>>,
+    pub address: SocketAddr,
+    connections: Vec<Option<(TcpStream, Vec<u8>)>>,
     /// Connections that come are left waiting.
-    pub deaf: bool,
+    pub accepts_paused: bool,
 }
 
-impl Played {
+impl ManualHost {
     pub fn new() -> Self {
-        Self::of(TcpListener::bind("127.0.0.1:0").unwrap())
+        Self::from_listener(TcpListener::bind("127.0.0.1:0").unwrap())
     }
 
     /// One whose machine holds one connection that it did not take yet; further ones don't come up.
-    pub fn narrow() -> Self {
+    pub fn with_backlog_of_one() -> Self {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
         socket.listen(0).unwrap();
-        Self::of(socket.into())
+        Self::from_listener(socket.into())
     }
 
-    fn of(listener: TcpListener) -> Self {
+    fn from_listener(listener: TcpListener) -> Self {
         listener.set_nonblocking(true).unwrap();
-        let at = listener.local_addr().unwrap();
-        Self { listener, at, lines: Vec::new(), deaf: false }
+        let address = listener.local_addr().unwrap();
+        Self { listener, address, connections: Vec::new(), accepts_paused: false }
     }
 
     /// One whose connections hold a few kilobytes of what it did not read.
-    pub fn slow() -> Self {
+    pub fn with_small_receive_buffer() -> Self {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.set_recv_buffer_size(4 << 10).unwrap();
         socket.set_tcp_mss(536).unwrap();
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
         socket.listen(128).unwrap();
-        Self::of(socket.into())
+        Self::from_listener(socket.into())
     }
 
     /// Connections that came, those that ended included.
-    pub fn connections(&self) -> usize {
-        self.lines.len()
+    pub fn connection_count(&self) -> usize {
+        self.connections.len()
     }
 
     /// Reads a connection to its end; gives the ids of the whole requests on it, and how many bytes followed the last.
-    pub fn read_to_the_end(&mut self, line: usize) -> (Vec<String>, usize) {
-        let (mut socket, mut held) = self.lines[line].take().expect("a connection that was not ended");
+    pub fn read_to_end(&mut self, connection: usize) -> (Vec<String>, usize) {
+        let (mut socket, mut received) =
+            self.connections[connection].take().expect("a connection that was not ended");
         socket.set_nonblocking(false).unwrap();
-        socket.set_read_timeout(Some(PATIENCE)).unwrap();
-        socket.read_to_end(&mut held).expect("its end");
+        socket.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+        socket.read_to_end(&mut received).expect("its end");
         let mut ids = Vec::new();
-        while let Some(command) = take_command(&mut held).expect("commands") {
+        while let Some(command) = take_command(&mut received).expect("commands") {
             if command[0] == b"invoke" {
                 ids.push(String::from_utf8_lossy(&command[1]).into_owned());
             }
         }
-        (ids, held.len())
+        (ids, received.len())
     }
 
-    pub fn host(&self) -> Host {
-        Host { at: self.at, seen: Arc::default() }
+    pub fn as_host(&self) -> Host {
+        Host { address: self.address, commands: Arc::default() }
     }
 
     /// The next command, and the number of the connection that it came on.
-    pub fn next(&mut self) -> (usize, Vec<String>) {
-        self.next_within(PATIENCE).expect("a command")
+    pub fn next_command(&mut self) -> (usize, Vec<String>) {
+        self.next_command_within(TEST_TIMEOUT).expect("a command")
     }
 
     /// The same; `None`: there was none for so long.
-    pub fn next_within(&mut self, span: Duration) -> Option<(usize, Vec<String>)> {
+    pub fn next_command_within(&mut self, span: Duration) -> Option<(usize, Vec<String>)> {
         let end = Instant::now() + span;
         loop {
-            if let Some(found) = self.look() {
+            if let Some(found) = self.poll_command() {
                 return Some(found);
             }
             if Instant::now() > end {
@@ -613,20 +626,20 @@
         }
     }
 
-    fn look(&mut self) -> Option<(usize, Vec<String>)> {
-        if !self.deaf
+    fn poll_command(&mut self) -> Option<(usize, Vec<String>)> {
+        if !self.accepts_paused
             && let Ok((socket, _)) = self.listener.accept()
         {
             socket.set_nonblocking(true).unwrap();
-            self.lines.push(Some((socket, Vec::new())));
+            self.connections.push(Some((socket, Vec::new())));
         }
-        for (number, line) in self.lines.iter_mut().enumerate() {
-            let Some((socket, held)) = line else { continue };
-            let mut part = [0; 64 << 10];
-            if let Ok(count) = socket.read(&mut part) {
-                held.extend_from_slice(&part[..count]);
+        for (number, connection) in self.connections.iter_mut().enumerate() {
+            let Some((socket, received)) = connection else { continue };
+            let mut chunk = [0; 64 << 10];
+            if let Ok(count) = socket.read(&mut chunk) {
+                received.extend_from_slice(&chunk[..count]);
             }
-            if let Some(command) = take_command(held).expect("commands") {
+            if let Some(command) = take_command(received).expect("commands") {
                 let text = |part: &Vec<u8>| String::from_utf8_lossy(part).into_owned();
                 return Some((number, command.iter().map(text).collect()));
             }
@@ -635,41 +648,41 @@
     }
 
     /// The next command with this first word; others are passed over.
-    pub fn next_of(&mut self, word: &str) -> (usize, Vec<String>) {
+    pub fn next_command_named(&mut self, name: &str) -> (usize, Vec<String>) {
         loop {
-            let (line, command) = self.next();
-            if command[0] == word {
-                return (line, command);
+            let (connection, command) = self.next_command();
+            if command[0] == name {
+                return (connection, command);
             }
         }
     }
 
-    pub fn answer(&mut self, line: usize, id: &str, word: &str, fields: &str, body: &[u8]) {
+    pub fn send_answer(&mut self, connection: usize, id: &str, status: &str, fields: &str, body: &[u8]) {
         let mut out = Vec::new();
-        encode_answer(&mut out, id, word, fields, body);
-        self.bytes(line, &out);
+        encode_answer(&mut out, id, status, fields, body);
+        self.send_bytes(connection, &out);
     }
 
-    pub fn bytes(&mut self, line: usize, bytes: &[u8]) {
-        let (socket, _) = self.lines[line].as_mut().expect("a connection that was not ended");
+    pub fn send_bytes(&mut self, connection: usize, bytes: &[u8]) {
+        let (socket, _) = self.connections[connection].as_mut().expect("a connection that was not ended");
         socket.set_nonblocking(false).unwrap();
         socket.write_all(bytes).unwrap();
         socket.set_nonblocking(true).unwrap();
     }
 
     /// Ends a connection in good order.
-    pub fn end(&mut self, line: usize) {
-        self.lines[line] = None;
+    pub fn close(&mut self, connection: usize) {
+        self.connections[connection] = None;
     }
 
     /// Ends a connection with a reset.
-    pub fn reset(&mut self, line: usize) {
-        if let Some((socket, _)) = self.lines[line].take() {
+    pub fn reset(&mut self, connection: usize) {
+        if let Some((socket, _)) = self.connections[connection].take() {
             socket2::SockRef::from(&socket).set_linger(Some(Duration::ZERO)).unwrap();
         }
     }
 }
 
-pub fn invokes(host: &Host) -> usize {
-    host.seen.lock().unwrap().iter().filter(|line| line.starts_with("invoke")).count()
+pub fn invoke_count(host: &Host) -> usize {
+    host.commands.lock().unwrap().iter().filter(|command| command.starts_with("invoke")).count()
 }
--- a/crates/cli/tests/soak.rs
+++ b/crates/cli/tests/soak.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_program_that_is_no_gateway_is_found() {
+fn a_program_that_is_not_a_gateway_fails_the_soak() {
     let (held, said) =
         soak(&["--gateways", "1", "--hosts", "2", "--seconds", "2", "--program", "/bin/false"]);
     assert!(!held && said.contains("ended by itself"), "{said}");
