--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! What the end-to-end tests share: a gateway process with settings of its own, and a worker that is scripted by
-//! the test itself.
+//! Shared by the end-to-end tests: a gateway process with its own settings, and a worker scripted by the
+//! test.
 #![allow(dead_code)]
 
 use std::io::{Read, Write};
@@ -11,16 +11,16 @@
 use cresswheel_rehearsal::{Client, Process};
 
 pub const EXE: &str = env!("CARGO_BIN_EXE_cresswheel");
-/// Nothing in these tests takes as long; what does is a failure.
+/// Upper bound for every wait in these tests; exceeding it is a failure.
 pub const PATIENCE: Duration = Duration::from_secs(20);
 
 pub struct Bed {
     pub folder: tempfile::TempDir,
     pub gateway: Process,
-    pages: std::cell::RefCell<Option<TcpStream>>,
+    page_connection: std::cell::RefCell<Option<TcpStream>>,
 }
 
-/// Settings with three classes, a short tick, and what the test adds.
+/// Settings with three classes, a short answer margin, and what the test adds.
 pub fn settings(folder: &Path, workers: &[SocketAddr], more: &str, limits: &str) -> PathBuf {
     let mut script = format!(
         "gateway(name = \"g\", listen = \"127.0.0.1:0\", http = \"127.0.0.1:0\", answer_margin = ms(20), \
@@ -53,7 +53,7 @@
     pub fn of(folder: tempfile::TempDir, exe: &Path, args: &[&str]) -> Self {
         let args: Vec<String> = args.iter().map(|a| (*a).to_owned()).collect();
         let gateway = Process::start(exe, &args, &folder.path().join("gateway.log")).unwrap();
-        Self { folder, gateway, pages: Default::default() }
+        Self { folder, gateway, page_connection: Default::default() }
     }
 
     pub fn client(&self) -> Client {
@@ -70,23 +70,24 @@
         std::fs::read_to_string(self.folder.path().join("gateway.log")).unwrap()
     }
 
-    /// Waits until the log says this.
+    /// Waits until the log contains this text.
     pub fn logged(&self, words: &str) {
         let end = std::time::Instant::now() + PATIENCE;
         while !self.log().contains(words) {
-            assert!(std::time::Instant::now() < end, "the log never said {words:?}:\n{}", self.log());
+            assert!(std::time::Instant::now() < end, "the log does not contain {words:?}:\n{}", self.log());
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// A page of the gateway, on one connection that the bed keeps: a crowd may leave no place for another.
+    /// Fetches a page of the gateway on one connection that is kept open: many test clients may leave no free
+    /// connection slot for another.
     pub fn page(&self, path: &str) -> String {
-        let mut kept = self.pages.borrow_mut();
-        let found = kept.as_mut().and_then(|socket| page(socket, path));
+        let mut connection = self.page_connection.borrow_mut();
+        let found = connection.as_mut().and_then(|socket| fetch_page(socket, path));
         found.unwrap_or_else(|| {
-            // The first one, or what held the connection has ended.
-            let socket = kept.insert(self.http());
-            page(socket, path).expect("a page")
+            // There is no connection yet, or it was closed.
+            let socket = connection.insert(self.http());
+            fetch_page(socket, path).expect("a page")
         })
     }
 
@@ -97,7 +98,7 @@
     }
 }
 
-fn page(socket: &mut TcpStream, path: &str) -> Option<String> {
+fn fetch_page(socket: &mut TcpStream, path: &str) -> Option<String> {
     socket.write_all(format!("GET {path} HTTP/1.1\r\nhost: x\r\n\r\n").as_bytes()).ok()?;
     let (mut bytes, mut part) = (Vec::new(), [0; 4096]);
     loop {
@@ -137,24 +138,24 @@
         match client.receive_within(PATIENCE).unwrap() {
             Message::Answer { number, status, reason, .. } => return (number, status.word().into(), reason),
             Message::Accepted { .. } | Message::GoingAway { .. } => {}
-            other => panic!("{other:?} instead of an answer"),
+            other => panic!("expected an answer, got {other:?}"),
         }
     }
 }
 
-/// A listener for a worker that the test plays.
+/// A listener for a worker simulated by the test.
 pub fn listener() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
     (listener, at)
 }
 
-/// An address where nobody listens.
+/// An address where nothing listens.
 pub fn nobody() -> SocketAddr {
     listener().1
 }
 
-/// A connection from the gateway to a worker that the test plays.
+/// A connection from the gateway to a worker simulated by the test.
 pub struct Played {
     socket: TcpStream,
     decoder: Decoder,
@@ -167,7 +168,7 @@
         Self { socket, decoder: Decoder::new(Limits::default()) }
     }
 
-    /// The next message; `None`: the gateway closed the connection.
+    /// The next message; `None` if the gateway closed the connection.
     pub fn next(&mut self) -> Option<Message> {
         loop {
             if let Some(message) = self.decoder.decode().unwrap() {
@@ -209,7 +210,7 @@
     }
 }
 
-/// A worker that serves everything at once, in a thread that ends with the test's process.
+/// A worker that serves everything at once, on a thread that ends with the test process.
 pub fn good_worker() -> SocketAddr {
     let (listener, at) = listener();
     std::thread::spawn(move || {
--- a/crates/cli/tests/crossings.rs
+++ b/crates/cli/tests/crossings.rs
@@ -1,8 +1,9 @@
-//! Two events that cross, each pair forced by the test: see docs/CROSSINGS.md, which names these tests row by row.
+//! Pairs of events that cross, each forced by the test: see docs/CROSSINGS.md, which lists these tests by
+//! name.
 //!
-//! Order is made by what the test withholds, by one write that holds both, or by a process that is stopped and finds
-//! all of it when it is woken. Where a span has to pass (the time of taking after TERM, the idle time of a place), the
-//! test waits at least that long, and nothing is asserted about how long things take.
+//! The order is fixed by what the test withholds, by one write that contains both, or by pausing the process
+//! so that it finds both events when it resumes. Where time has to pass (the shutdown grace after TERM, an
+//! idle timeout), the test waits at least that long, and no test asserts how long something takes.
 
 mod peers;
 
@@ -18,7 +19,7 @@
 };
 
 const OTHER_FUNCTION: &str = "7f3a9c21e0b4d656";
-/// More than requests are taken for after TERM.
+/// Longer than new requests are accepted after TERM.
 const AFTER_SHUTDOWN_GRACE: Duration = Duration::from_millis(800);
 
 fn id(number: u32) -> String {
@@ -29,7 +30,7 @@
     config(&[("s-1".to_owned(), host.address)], directory.address, when_absent)
 }
 
-/// A gateway before one host that the test plays, and a client of it. Its directory says nothing.
+/// A gateway in front of one manually controlled host, and a client of it. Its directory doesn't answer.
 fn gateway_and_host(when_absent: &str, client: fn(&Gateway) -> Client) -> (Gateway, ManualHost, Client) {
     let (host, directory) = (ManualHost::new(), Directory::new(1));
     let gateway = Gateway::with_config(&one_host(&host.as_host(), &directory, when_absent));
@@ -41,7 +42,7 @@
     assert_eq!(client.next_frame(), Some(FromGateway::Leaving));
 }
 
-/// Asks so many times on a connection that is not read, and has each answered with so much.
+/// Sends `times` requests on a connection that isn't read, and has the host answer each with `length` bytes.
 fn queue_answers(gateway: &Gateway, host: &mut ManualHost, client: &mut Client, times: u32, length: usize) {
     for n in 1..=times {
         client.send_request_with_id(n, &id(n), "check", "5000");
@@ -67,7 +68,7 @@
     expect_leaving(&mut first);
     gateway.pause();
     std::thread::sleep(AFTER_SHUTDOWN_GRACE);
-    // More than are accepted in one turn: as the process wakes, the time of taking is over.
+    // More than are accepted in one loop iteration; when the process resumes, the shutdown grace is over.
     let mut waiting: Vec<Client> = (0..100).map(|_| gateway.connect()).collect();
     waiting
         .iter_mut()
@@ -76,7 +77,7 @@
     gateway.resume();
     for client in &mut waiting {
         let (stream, code) = client.next_answer();
-        assert!(stream == 1 && matches!(code, 0 | 8), "served or refused, not broken: {code}");
+        assert!(stream == 1 && matches!(code, 0 | 8), "neither served nor rejected: {code}");
     }
     assert_eq!(gateway.wait_for_exit(), Some(0));
 }
@@ -88,10 +89,10 @@
     let (connection, _) = host.next_command_named("invoke");
     gateway.signal("-TERM");
     expect_leaving(&mut client);
-    // The end of taking is past: it is told once more.
+    // The shutdown grace is over, which is announced a second time.
     expect_leaving(&mut client);
     gateway.pause();
-    // More than is read in one turn, and the answer that all wait for.
+    // More than is read in one loop iteration, and the answer that the shutdown waits for.
     let many = 2..=60;
     let all: Vec<u8> = many
         .clone()
@@ -105,7 +106,7 @@
     let wanted: Vec<(u32, u8)> = [(1, 0)].into_iter().chain(many.map(|n| (n, 8))).collect();
     assert_eq!(answers, wanted);
     let end = client.socket.read(&mut [0]);
-    assert!(matches!(end, Ok(0)), "an end in good order: {end:?}");
+    assert!(matches!(end, Ok(0)), "expected a close without a reset: {end:?}");
     drop(client);
     assert_eq!(gateway.wait_for_exit(), Some(0));
 }
@@ -117,7 +118,7 @@
     queue_answers(&gateway, &mut host, &mut client, 4, BODY);
     gateway.signal("-TERM");
     gateway.wait_for_log("stopping");
-    // The time of taking and a little more goes by without a byte being read.
+    // The shutdown grace and a little more pass without a byte being read.
     std::thread::sleep(AFTER_SHUTDOWN_GRACE + Duration::from_millis(400));
     let mut whole = 0;
     while let Some(frame) = client.next_frame() {
@@ -160,7 +161,7 @@
         Gateway::spawn_with_config(&one_host(&host, &directory, "load").replace("127.0.0.1:0", &address));
     gateway.wait_for_log("list serial=1");
     gateway.signal("-TERM");
-    // It ends without the port, or stops in good order once it has it: whichever comes first.
+    // The process exits without the port, or shuts down normally once it has it, whichever happens first.
     drop(occupied_port);
     assert!(matches!(gateway.wait_for_exit(), Some(0 | 1)));
 }
@@ -174,7 +175,7 @@
         let mut gateway = Gateway::spawn_with_config(&config);
         std::thread::sleep(Duration::from_millis(ms));
         gateway.signal("-TERM");
-        // By the signal itself, or in good order once it is taken.
+        // Killed by the signal, or shut down normally once the handler is installed.
         assert!(matches!(gateway.wait_for_exit(), None | Some(0)), "after {ms} ms");
     }
     let gateway = Gateway::with_config(&config);
@@ -192,10 +193,10 @@
     expect_leaving(&mut client);
     let whole = request_frame(2, &id(2), "check", "3000", FUNCTION, &[7; 300]);
     client.send_bytes(&whole[..whole.len() / 2]);
-    // The end of taking is told once more; then nothing but the end, in good order.
+    // The end of the shutdown grace is announced again; after it the connection is closed without a reset.
     expect_leaving(&mut client);
     let end = client.socket.read(&mut [0]);
-    assert!(matches!(end, Ok(0)), "an end in good order: {end:?}");
+    assert!(matches!(end, Ok(0)), "expected a close without a reset: {end:?}");
     drop(client);
     assert_eq!((gateway.wait_for_exit(), invoke_count(&host)), (Some(0), 1));
 }
@@ -214,7 +215,7 @@
     gateway.signal("-TERM");
     gateway.resume();
     expect_leaving(&mut client);
-    // While it still takes requests, it keeps to the drain that only the new directory told.
+    // While it still accepts requests, it respects the drain that only the new directory lists.
     gateway.wait_for_log("list serial=3");
     for n in 0..5 {
         let stream = client.send_request("post", "3000", n);
@@ -238,7 +239,10 @@
     }
     gateway.signal("-KILL");
     assert_eq!(gateway.wait_for_exit(), None);
-    assert!(clients.iter_mut().all(|client| client.next_frame().is_none()), "an end without an answer");
+    assert!(
+        clients.iter_mut().all(|client| client.next_frame().is_none()),
+        "expected a close without an answer"
+    );
     let restarted = Gateway::with_config(&config.replace("127.0.0.1:0", &address.to_string()));
     for n in 1..=20 {
         let mut client = restarted.connect();
@@ -270,7 +274,8 @@
 
 // Clients.
 
-/// A gateway of which a request for `F2` waits for a load, asked on stream 9 by this client.
+/// A gateway with a request for `OTHER_FUNCTION` from this client on stream 9, which waits for a load; also
+/// returns the connection and tag of the prewarm order.
 fn gateway_waiting_for_load() -> (Gateway, ManualHost, Client, usize, String) {
     let (gateway, mut host, mut client) = gateway_and_host("miss", Gateway::connect_with_small_buffers);
     client.send_bytes(&request_frame(9, &id(9), "check", "5000", OTHER_FUNCTION, b"in"));
@@ -278,13 +283,13 @@
     (gateway, host, client, connection, order[1].clone())
 }
 
-/// The load is there now; what waited was taken back, so only what is asked now may be sent.
+/// Completes the load. The waiting request was canceled, so only a new request may be sent.
 fn assert_only_new_invoked(gateway: &Gateway, host: &mut ManualHost, connection: usize, order: &str) {
     host.send_answer(connection, order, "OK", "instances=1", b"");
     let mut other = gateway.connect();
     other.send_bytes(&request_frame(1, &id(77), "check", "5000", OTHER_FUNCTION, b"in"));
     let (connection, command) = host.next_command_named("invoke");
-    assert_eq!(command[1], id(77), "a request whose client left while it waited was sent on");
+    assert_eq!(command[1], id(77), "a request whose client left while it waited was sent");
     host.send_answer(connection, &id(77), "OK", "-", b"out");
     assert_eq!(other.next_answer(), (1, 0));
     assert!(host.next_command_within(Duration::from_millis(100)).is_none_or(|(_, c)| c[0] != "invoke"));
@@ -296,7 +301,8 @@
         let (gateway, mut host, mut client, connection, order) = gateway_waiting_for_load();
         match way {
             0 => client.cancel(9),
-            // A half-close is an end: a client that leaves shows no more than that.
+            // A half-close counts as a disconnect: a client that closes its connection shows no more than
+            // that.
             1 => client.socket.shutdown(std::net::Shutdown::Write).unwrap(),
             2 => drop(client),
             _ => client.reset(),
@@ -315,7 +321,8 @@
         client.send_request_with_id(1, &id(1), "check", "5000");
         assert_eq!(client.next_answer(), (1, 0));
         gateway.pause();
-        // On a connection that stands, or on one that waits to be accepted; with the request come its end or its taking back.
+        // The client uses an established connection or one that waits to be accepted; its close or
+        // cancellation arrives together with the request.
         let mut client = if way == 0 { client } else { gateway.connect() };
         client.send_request_with_id(2, &id(2), "check", "5000");
         match way {
@@ -337,7 +344,7 @@
 fn a_client_that_does_not_read_can_still_cancel_a_waiting_request() {
     for leaves in [false, true] {
         let (gateway, mut host, mut client, connection, order) = gateway_waiting_for_load();
-        // Answers that it does not read: far more waits for it than the bound.
+        // An answer that the client doesn't read; it exceeds the limit on buffered bytes by far.
         client.send_bytes(&request_frame(1, &id(1), "check", "5000", FUNCTION, b"in"));
         let (second, prewarm) = host.next_command_named("prewarm");
         host.send_answer(second, &prewarm[1], "OK", "instances=1", b"");
@@ -357,7 +364,7 @@
 fn a_client_that_sends_an_invalid_frame_and_leaves_cancels_its_waiting_request() {
     let (gateway, mut host, mut client, connection, order) = gateway_waiting_for_load();
     client.send_bytes(&[0, 0, 0, 0, 100]);
-    assert_eq!(client.next_answer(), (0, 13), "it is told");
+    assert_eq!(client.next_answer(), (0, 13), "the error is reported");
     drop(client);
     gateway.wait_for_log(" left ");
     assert_only_new_invoked(&gateway, &mut host, connection, &order);
@@ -366,12 +373,13 @@
 #[test]
 fn a_request_waiting_for_a_host_connection_is_not_sent_after_its_client_cancels() {
     let (mut host, directory) = (ManualHost::with_backlog_of_one(), Directory::new(1));
-    // Connections may come up late here.
+    // Host connections may take long here.
     let slow_connect_config = one_host(&host.as_host(), &directory, "load")
         .replace("\"connect_timeout\":250000", "\"connect_timeout\":9000000");
     let gateway = Gateway::with_config(&slow_connect_config);
     host.accepts_paused = true;
-    // The first takes the one place that the machine holds, the second has to wait for its connection.
+    // The first connection fills the backlog of the host, so the second request has to wait for its
+    // connection.
     let mut clients: Vec<Client> = (1..=3).map(|_| gateway.connect()).collect();
     for (n, client) in (1..).zip(&mut clients) {
         client.send_bytes(&request_frame(1, &id(n), "check", "5000", FUNCTION, b"in"));
@@ -384,7 +392,7 @@
     host.accepts_paused = false;
     let (connection, command) = host.next_command_named("invoke");
     assert_eq!(command[1], id(1));
-    // Long enough for the kernel to try the connections again.
+    // Long enough for the kernel to retry the connections.
     let sent = host.next_command_within(Duration::from_millis(1_500));
     assert!(sent.as_ref().is_none_or(|(_, c)| c[0] != "invoke"), "{sent:?}");
     host.send_answer(connection, &id(1), "OK", "-", b"out");
@@ -397,7 +405,7 @@
     client.send_request_with_id(1, &id(1), "post", "3000");
     let (connection, _) = host.next_command_named("invoke");
     gateway.pause();
-    // Both are there when it looks: the taking back, and the answer to what is taken back.
+    // When it resumes, the gateway finds both the cancellation and the answer to the canceled request.
     client.cancel(1);
     client.send_request_with_id(1, &id(2), "post", "3000");
     host.send_answer(connection, &id(1), "OK", "-", b"first");
@@ -405,7 +413,7 @@
     let (connection, command) = host.next_command_named("invoke");
     assert_eq!(command[1], id(2));
     host.send_answer(connection, &id(2), "OK", "-", b"second");
-    // Whichever it read first, the second request gets its own answer and nothing else follows.
+    // Whichever it reads first, the second request gets its own answer and nothing else follows.
     let mut frame = client.next_frame();
     if frame == Some(FromGateway::Answer(1, 0, None, b"first".to_vec())) {
         frame = client.next_frame();
@@ -433,7 +441,8 @@
 fn a_connection_with_a_request_that_just_arrived_is_not_evicted() {
     let (host, directory) = (start_host(answer_ok), Directory::new(1));
     let gateway = Gateway::new(&[("s-1", &host)], &directory, "load");
-    // 256 descriptors leave 116 places; all are taken, by clients that were served and have been idle for a while.
+    // 256 descriptors leave 116 client connections; all are in use by clients that were served and have been
+    // idle for a while.
     let mut clients: Vec<Client> = (0..116).map(|_| gateway.connect()).collect();
     for (n, client) in clients.iter_mut().enumerate() {
         client.send_request("check", "3000", n as u64);
@@ -441,14 +450,15 @@
     }
     std::thread::sleep(Duration::from_millis(300));
     gateway.pause();
-    // The one that has been idle the longest asks, and another comes: both are there when it looks.
+    // The client that has been idle longest sends a request, and a new client connects; the gateway finds
+    // both when it resumes.
     clients[0].send_request("check", "3000", 500);
     let mut newcomer = gateway.connect();
     newcomer.send_request("check", "3000", 501);
     gateway.resume();
     assert_eq!(clients[0].next_answer(), (2, 0));
     assert_eq!(newcomer.next_answer(), (1, 0));
-    assert_eq!(clients[1].next_frame(), None, "the next longest gives way");
+    assert_eq!(clients[1].next_frame(), None, "the client idle next longest is evicted");
 }
 
 #[test]
@@ -456,7 +466,8 @@
     let (host, directory) = (start_host(answer_ok), Directory::new(1));
     let gateway = Gateway::new(&[("s-1", &host)], &directory, "load");
     let mut client = gateway.connect();
-    // Both are there when it looks: the request, and the end of the time for which a new connection may say nothing.
+    // The gateway finds both when it resumes: the request, and the expired timeout of a new connection that
+    // sends nothing.
     gateway.pause();
     std::thread::sleep(Duration::from_millis(1_400));
     client.send_request("check", "3000", 1);
@@ -470,7 +481,7 @@
     client.send_request_with_id(1, &id(1), "post", "5000");
     let (connection, _) = host.next_command_named("invoke");
     client.send_bytes(&[200, 0, 0, 0, 100, 1]);
-    assert_eq!(client.next_answer(), (0, 13), "it is told");
+    assert_eq!(client.next_answer(), (0, 13), "the error is reported");
     host.send_answer(connection, &id(1), "OK", "-", b"out");
     assert_eq!(client.next_answer(), (1, 0));
     assert_eq!(client.next_frame(), None);
@@ -482,14 +493,15 @@
     let gateway = Gateway::new(&[("s-1", &host)], &directory, "load");
     let mut client = gateway.connect();
     let whole = request_frame(1, &id(1), "check", "1000", FUNCTION, &[7; 300]);
-    // Twice as long as a message may be silent; its own time runs from its last byte.
+    // Takes twice as long as the read timeout within a message; the request's own time starts with its last
+    // byte.
     for piece in whole.chunks(whole.len().div_ceil(6)) {
         std::thread::sleep(Duration::from_millis(450));
         client.send_bytes(piece);
     }
     assert_eq!(client.next_answer(), (1, 0));
     client.send_request_with_id(2, &id(2), "check", "3000");
-    assert_eq!(client.next_answer(), (2, 0), "the connection goes on");
+    assert_eq!(client.next_answer(), (2, 0), "the connection stays open");
 }
 
 #[test]
@@ -500,7 +512,7 @@
     );
     let mut client = gateway.connect();
     let whole = request_frame(1, &id(1), "check", "1000", FUNCTION, &[7; 300]);
-    // At this pace it would take 40 s.
+    // At this rate it would take 40 s.
     client.socket.set_read_timeout(Some(Duration::from_millis(100))).unwrap();
     let ended = whole.iter().position(|byte| {
         let _ = client.socket.write_all(&[*byte]);
@@ -509,12 +521,12 @@
     });
     assert!(
         ended.is_some_and(|position| position > 12),
-        "ended at byte {ended:?}: longer than a silent one, not for ever"
+        "closed at byte {ended:?}: expected after the silence timeout, but before the end"
     );
     gateway.wait_for_log("why=\"half-sent\"");
 }
 
-/// Takes a step again and again in the background until the test is over.
+/// Repeats a step in the background until the test is over.
 fn with_background<T>(mut step: impl FnMut() + Send, test: impl FnOnce() -> T) -> T {
     struct Stop<'a>(&'a AtomicBool);
     impl Drop for Stop<'_> {
@@ -535,7 +547,7 @@
     })
 }
 
-/// Ten clients ask, one after the other; each is served.
+/// Ten clients send a request one after the other; each is served.
 fn assert_ten_requests_served(gateway: &Gateway, wait: &str) {
     for n in 0..10 {
         let mut client = gateway.connect();
@@ -550,18 +562,18 @@
     let (host, directory) = (start_host(answer_ok), Directory::new(1));
     let gateway = Gateway::new(&[("s-1", &host)], &directory, "load");
     let whole = request_frame(1, &id(1), "check", "1000", FUNCTION, &[7; 300]);
-    let mut crowd: Vec<(TcpStream, usize)> = Vec::new();
-    // More than the 116 places; each drips on, and comes again when it is closed.
-    let drip = || {
-        crowd.retain_mut(|(socket, sent)| {
+    let mut senders: Vec<(TcpStream, usize)> = Vec::new();
+    // More than the 116 client connections; each sends byte by byte, and is replaced when it is closed.
+    let send_next_bytes = || {
+        senders.retain_mut(|(socket, sent)| {
             *sent += 1;
             socket.write_all(&whole[*sent - 1..*sent]).is_ok() && *sent + 1 < whole.len()
         });
-        while crowd.len() < 200 {
-            crowd.push((TcpStream::connect(gateway.address).unwrap(), 0));
+        while senders.len() < 200 {
+            senders.push((TcpStream::connect(gateway.address).unwrap(), 0));
         }
     };
-    with_background(drip, || {
+    with_background(send_next_bytes, || {
         std::thread::sleep(Duration::from_secs(1));
         assert_ten_requests_served(&gateway, "3000");
     });
@@ -569,21 +581,23 @@
 
 #[test]
 fn idle_clients_at_the_descriptor_limit_leave_descriptors_for_the_directory_and_hosts() {
-    // As many as the configuration says, and fewer than that.
+    // The limit in the configuration, and a lower limit of the system.
     for descriptors in [256, 64] {
         let (host_1, host_2, directory) = (start_host(answer_ok), start_host(answer_ok), Directory::new(1));
         let gateway = Gateway::with_descriptor_limit(&one_host(&host_1, &directory, "load"), descriptors);
-        // More than there are places for: each asks whether it is ready, is told, and says no more.
-        let mut crowd: Vec<Client> = (0..300).map(|_| gateway.connect()).collect();
-        for client in &mut crowd {
+        // More clients than are accepted at a time: each asks whether the gateway is ready, gets the answer,
+        // and sends nothing more.
+        let mut idle_clients: Vec<Client> = (0..300).map(|_| gateway.connect()).collect();
+        for client in &mut idle_clients {
             let mut ready = Vec::new();
             encode_bare(&mut ready, true, 1);
             client.send_bytes(&ready);
         }
         gateway.wait_for_log("the directory is silent");
-        // Long enough to have waited behind the crowd: how long one waited to be accepted is reckoned at its most.
+        // Long enough to wait behind the idle clients: the gateway assumes the longest possible time that a
+        // connection may have waited to be accepted.
         assert_ten_requests_served(&gateway, "20000");
-        // It comes back, with another host.
+        // The directory answers again, with another host.
         directory.set_hosts(5, &[("s-1", host_1.address, 1), ("s-2", host_2.address, 0)]);
         gateway.wait_for_log("list serial=5");
         assert_ten_requests_served(&gateway, "20000");
@@ -596,7 +610,7 @@
     const BODY: usize = 250 << 10;
     for reads in [true, false] {
         let (gateway, mut host, mut client) = gateway_and_host("load", Gateway::connect_with_small_buffers);
-        // One that will be answered last of all; a client of which nothing is open is waited for only as it reads.
+        // This request is answered last; a client without an open request is only waited for while it reads.
         if reads {
             client.send_request_with_id(5, &id(5), "post", "5000");
         }
@@ -606,7 +620,8 @@
             gateway.wait_for_log("closed connection");
             continue;
         }
-        // Longer than the two seconds for which one that reads nothing is waited for, with a request open.
+        // With a request open, this takes longer than the two seconds after which a client that reads nothing
+        // is disconnected.
         let mut part = vec![0; 4 << 10];
         for _ in 0..6 {
             client.socket.read_exact(&mut part).unwrap();
@@ -616,7 +631,9 @@
         let mut whole = 0;
         host.send_answer(open.unwrap(), &id(5), "OK", "-", b"out");
         while whole < 4 {
-            let Some(FromGateway::Answer(n, 0, None, body)) = client.next_frame() else { panic!("cut off") };
+            let Some(FromGateway::Answer(n, 0, None, body)) = client.next_frame() else {
+                panic!("the connection was closed early")
+            };
             assert_eq!(body, vec![n as u8; BODY]);
             whole += 1;
         }
@@ -624,9 +641,9 @@
     }
 }
 
-// Clients that have gone: no attempt begins for them, on whichever path it would.
+// Clients that have left: no attempt starts for them, on any path.
 
-/// The ways in which a client goes.
+/// How a client leaves.
 #[derive(Clone, Copy, Debug)]
 enum ClientExit {
     Cancel,
@@ -637,10 +654,10 @@
 
 const CLIENT_EXITS: [ClientExit; 4] =
     [ClientExit::Cancel, ClientExit::HalfClose, ClientExit::Close, ClientExit::Reset];
-/// Far more than the 0.1 s after which nothing may begin for a client that has gone.
+/// Far more than the 0.1 s after which nothing may start for a client that has left.
 const AFTER_CLIENT_LEFT: Duration = Duration::from_millis(300);
 
-/// The client of the request on that stream goes; one that only takes back keeps its connection.
+/// The client of the request on that stream leaves; one that only cancels keeps its connection.
 fn leave(mut client: Client, stream: u32, way: ClientExit) -> Option<Client> {
     match way {
         ClientExit::Cancel => client.cancel(stream),
@@ -654,7 +671,7 @@
     Some(client)
 }
 
-/// Nothing is sent on but what is asked now, by another client.
+/// Checks that only a new request, by another client, is sent to the host.
 fn assert_only_new_request_sent(gateway: &Gateway, host: &mut ManualHost, why: &str) {
     let mut other = gateway.connect();
     other.send_request_with_id(1, &id(77), "check", "5000");
@@ -662,7 +679,7 @@
         let (connection, command) = host.next_command();
         match command[0].as_str() {
             "invoke" => {
-                assert_eq!(command[1], id(77), "{why}: sent on though its client had gone");
+                assert_eq!(command[1], id(77), "{why}: sent although its client had left");
                 host.send_answer(connection, &id(77), "OK", "-", b"out");
                 break;
             }
@@ -678,51 +695,51 @@
 
 #[test]
 fn no_retry_after_an_answer_that_arrives_as_the_client_leaves() {
-    for word in ["BUSY", "MISS", "ERR", "reset", "end"] {
+    for status in ["BUSY", "MISS", "ERR", "reset", "end"] {
         for way in CLIENT_EXITS {
             let (gateway, mut host, mut client) = gateway_and_host("load", Gateway::connect);
             client.send_request_with_id(1, &id(1), "check", "5000");
             let (connection, _) = host.next_command_named("invoke");
             gateway.pause();
-            match word {
+            match status {
                 "reset" => host.reset(connection),
                 "end" => host.close(connection),
-                word => host.send_answer(connection, &id(1), word, "-", b""),
+                status => host.send_answer(connection, &id(1), status, "-", b""),
             }
             let _client = leave(client, 1, way);
             std::thread::sleep(AFTER_CLIENT_LEFT);
             gateway.resume();
-            assert_only_new_request_sent(&gateway, &mut host, &format!("{word}, {way:?}"));
+            assert_only_new_request_sent(&gateway, &mut host, &format!("{status}, {way:?}"));
         }
     }
 }
 
 #[test]
 fn no_attempt_after_a_load_that_ends_as_the_client_leaves() {
-    for word in ["OK", "BUSY", "ERR"] {
+    for status in ["OK", "BUSY", "ERR"] {
         for way in CLIENT_EXITS {
             let (gateway, mut host, client, connection, order) = gateway_waiting_for_load();
             gateway.pause();
-            host.send_answer(connection, &order, word, "instances=1", b"");
+            host.send_answer(connection, &order, status, "instances=1", b"");
             let _client = leave(client, 9, way);
             std::thread::sleep(AFTER_CLIENT_LEFT);
             gateway.resume();
-            assert_only_new_request_sent(&gateway, &mut host, &format!("{word}, {way:?}"));
+            assert_only_new_request_sent(&gateway, &mut host, &format!("{status}, {way:?}"));
         }
     }
 }
 
 #[test]
 fn no_duplicate_and_no_retry_for_a_client_that_has_left() {
-    for (class, word) in [("check", None), ("check", Some("BUSY")), ("post", Some("BUSY"))] {
+    for (class, status) in [("check", None), ("check", Some("BUSY")), ("post", Some("BUSY"))] {
         for way in CLIENT_EXITS {
             let (gateway, mut host, mut client) = gateway_and_host("load", Gateway::connect);
             client.send_request_with_id(1, &id(1), class, "5000");
             let (connection, _) = host.next_command_named("invoke");
-            word.into_iter().for_each(|word| host.send_answer(connection, &id(1), word, "-", b""));
+            status.into_iter().for_each(|status| host.send_answer(connection, &id(1), status, "-", b""));
             gateway.pause();
             let _client = leave(client, 1, way);
-            // What came before it stood still came; then every timer of the request is over.
+            // Attempts sent before the pause arrive; then every timer of the request expires.
             while let Some((connection, command)) = host.next_command_within(Duration::from_millis(50)) {
                 if command[0] == "invoke" {
                     host.send_answer(connection, &id(1), "BUSY", "-", b"");
@@ -730,7 +747,7 @@
             }
             std::thread::sleep(Duration::from_millis(1_500));
             gateway.resume();
-            assert_only_new_request_sent(&gateway, &mut host, &format!("{class}, {word:?}, {way:?}"));
+            assert_only_new_request_sent(&gateway, &mut host, &format!("{class}, {status:?}, {way:?}"));
         }
     }
 }
@@ -739,16 +756,16 @@
 fn a_queued_request_is_not_sent_after_its_client_leaves() {
     for way in CLIENT_EXITS {
         let (mut host, directory) = (ManualHost::new(), Directory::new(1));
-        let long_deadline_config =
+        let long_objective_config =
             one_host(&host.as_host(), &directory, "load").replace("\"aim\":600000", "\"aim\":4000000");
-        let gateway = Gateway::with_config(&long_deadline_config);
-        // The one host takes nothing new for a while, so what is asked has to wait.
+        let gateway = Gateway::with_config(&long_objective_config);
+        // The only host drains for a while, so the request has to wait.
         directory.set_hosts(2, &[("s-1", host.address, 1)]);
         gateway.wait_for_log("list serial=2");
         let mut client = gateway.connect();
         client.send_request_with_id(1, &id(1), "check", "5000");
         client.send_request_with_id(2, &id(2), "no-such-class", "5000");
-        assert_eq!(client.next_answer(), (2, 8), "the second one was read, and the first one waits");
+        assert_eq!(client.next_answer(), (2, 8), "the second request was read, and the first one waits");
         let _client = leave(client, 1, way);
         gateway.wait_for_log(if matches!(way, ClientExit::Cancel) { " taken back " } else { " left " });
         directory.set_hosts(3, &[("s-1", host.address, 0)]);
@@ -762,10 +779,10 @@
     let (gateway, mut host, mut client, connection, order) = gateway_waiting_for_load();
     gateway.pause();
     host.send_answer(connection, &order, "OK", "instances=1", b"");
-    // Words on streams that have nothing open mean nothing, but have to be read.
-    let mut words = Vec::new();
-    (1_000..21_000).for_each(|stream| encode_bare(&mut words, false, stream));
-    client.send_bytes(&words);
+    // Cancellations on streams without an open request have no effect, but have to be read.
+    let mut cancellations = Vec::new();
+    (1_000..21_000).for_each(|stream| encode_bare(&mut cancellations, false, stream));
+    client.send_bytes(&cancellations);
     client.cancel(9);
     std::thread::sleep(AFTER_CLIENT_LEFT);
     gateway.resume();
@@ -782,13 +799,13 @@
         let (gateway, log) = Gateway::with_piped_log(&large_memory_config);
         let mut client = gateway.connect();
         let mut others: Vec<Client> = (0..40).map(|_| gateway.connect()).collect();
-        // All are let in.
+        // Wait until all connections are accepted.
         for client in others.iter_mut().chain([&mut client]) {
             client.send_request_with_id(99, &id(99), "no-such-class", "5000");
             assert_eq!(client.next_answer(), (99, 8));
         }
-        // Half of what the pipe holds, then a turn whose log is longer than the rest: the process stands in the middle
-        // of it.
+        // Fill half of the log pipe, then cause a loop iteration that logs more than the rest: the process
+        // blocks in the middle of it.
         log.set_reading(false);
         for _ in 0..250 {
             client.send_request_with_id(99, &id(99), "no-such-class", "5000");
@@ -808,11 +825,11 @@
         std::thread::sleep(AFTER_CLIENT_LEFT);
         log.set_reading(true);
         gateway.wait_for_log(&format!("run id={}", id(1)));
-        // The others are served, and it is not among them.
+        // The others are served, and this request is not among them.
         let mut next = Some(host.next_command_named("invoke"));
         while let Some((connection, command)) = next {
             if command[0] == "invoke" {
-                assert_ne!(command[1], id(1), "{way:?}: it left after its client had gone");
+                assert_ne!(command[1], id(1), "{way:?}: sent after its client had left");
                 host.send_answer(connection, &command[1], "OK", "-", b"out");
             }
             next = host.next_command_within(AFTER_CLIENT_LEFT);
@@ -828,7 +845,7 @@
             .replace("\"connect_timeout\":250000", "\"connect_timeout\":9000000");
         let gateway = Gateway::with_config(&slow_connect_config);
         host.accepts_paused = true;
-        // The first takes the one place that the machine holds, the second waits for its connection.
+        // The first connection fills the backlog of the host, so the second request waits for its connection.
         let mut clients: Vec<Client> = (1..=2).map(|_| gateway.connect()).collect();
         for (n, client) in (1..).zip(&mut clients) {
             client.send_request_with_id(1, &id(n), "check", "5000");
@@ -840,7 +857,7 @@
         let mut seen = Vec::new();
         let end = std::time::Instant::now() + peers::TEST_TIMEOUT;
         while host.connection_count() < 2 {
-            assert!(std::time::Instant::now() < end, "the second connection never came up");
+            assert!(std::time::Instant::now() < end, "the second connection was not established");
             seen.extend(host.next_command_within(Duration::from_millis(10)));
         }
         std::thread::sleep(AFTER_CLIENT_LEFT);
@@ -849,19 +866,19 @@
         let invokes = seen.into_iter().filter(|(_, command)| command[0] == "invoke");
         let invokes: Vec<_> = invokes.map(|(connection, command)| (connection, command[1].clone())).collect();
         assert!(invokes.iter().all(|(_, of)| *of == id(1)), "{way:?}: {invokes:?}");
-        // It stood still for longer than the first attempt had, so there may be another one.
+        // The pause was longer than the timeout of the first attempt, so there may be another one.
         invokes.iter().for_each(|(connection, _)| host.send_answer(*connection, &id(1), "OK", "-", b"out"));
         assert_eq!(clients[0].next_answer().0, 1);
     }
 }
 
-/// A gateway with one connection to its host, which holds little that was not read, and clients of it whose requests
-/// of 16 KiB are on that connection.
+/// A gateway with one connection to its host, which buffers little unread data, and clients whose requests of
+/// 16 KiB are on that connection.
 fn gateway_with_full_send_buffer() -> (Gateway, ManualHost, Vec<Client>) {
     let (mut host, directory) = (ManualHost::with_small_receive_buffer(), Directory::new(1));
-    let tight_config =
+    let few_sockets_config =
         one_host(&host.as_host(), &directory, "load").replace("\"sockets\":256", "\"sockets\":40");
-    let gateway = Gateway::with_config(&tight_config);
+    let gateway = Gateway::with_config(&few_sockets_config);
     let mut clients: Vec<Client> = (0..6).map(|_| gateway.connect()).collect();
     for (n, client) in (1..).zip(&mut clients) {
         client.send_bytes(&request_frame(1, &id(n), "check", "5000", FUNCTION, &[7; 16 << 10]));
@@ -881,7 +898,7 @@
         gateway
             .wait_for_log_count(if matches!(way, ClientExit::Cancel) { " taken back " } else { " left " }, 6);
         std::thread::sleep(AFTER_CLIENT_LEFT);
-        // What had left whole is there; what had left in part is cut short, and nothing follows.
+        // What was sent completely arrives; the partly sent request is cut off, and nothing follows it.
         let (whole, part) = host.read_to_end(0);
         assert!(whole.len() < 6 && part > 0, "{way:?}: {whole:?}, {part} bytes more");
         assert_only_new_request_sent(&gateway, &mut host, &format!("{way:?}"));
@@ -893,14 +910,15 @@
     let (gateway, mut host, clients) = gateway_with_full_send_buffer();
     gateway.pause();
     let _clients: Vec<_> = clients.into_iter().map(|client| leave(client, 1, ClientExit::Cancel)).collect();
-    // The host reads on: when the process is woken, both are there.
+    // The host reads again: when the process resumes, it finds both the cancellations and free space in the
+    // send buffer.
     let mut before = Vec::new();
     while let Some((_, command)) = host.next_command_within(AFTER_CLIENT_LEFT) {
         before.push(command[1].clone());
     }
     gateway.resume();
     gateway.wait_for_log_count(" taken back ", 6);
-    // Of the one that had left in part the rest does not come either.
+    // The rest of the partly sent request doesn't arrive either.
     let mut after = Vec::new();
     while let Some((_, command)) = host.next_command_within(AFTER_CLIENT_LEFT) {
         after.push(command[1].clone());
@@ -913,10 +931,10 @@
 fn a_request_waiting_to_be_accepted_at_the_connection_limit_is_not_sent_after_its_client_leaves() {
     for way in CLIENT_EXITS {
         let (mut host, directory) = (ManualHost::new(), Directory::new(1));
-        let tight_config =
+        let few_sockets_config =
             one_host(&host.as_host(), &directory, "load").replace("\"sockets\":256", "\"sockets\":40");
-        let gateway = Gateway::with_config(&tight_config);
-        // 40 descriptors leave 8 places; each has an open request.
+        let gateway = Gateway::with_config(&few_sockets_config);
+        // 40 descriptors leave 8 client connections; each has an open request.
         let mut clients: Vec<Client> = (0..8).map(|_| gateway.connect()).collect();
         let mut open = Vec::new();
         for (n, client) in (1..).zip(&mut clients) {
@@ -959,7 +977,7 @@
             other => panic!("{other:?}"),
         }
     };
-    // It runs there now, and the first answer comes a second time.
+    // The second attempt runs, and the answer to the first arrives a second time.
     host.send_answer(first.unwrap(), &id(1), "MISS", "-", b"");
     while let Some((connection, command)) = host.next_command_within(Duration::from_millis(500)) {
         assert_ne!(command[0], "invoke", "a post was sent a second time while it runs");
@@ -1005,8 +1023,8 @@
     }
     host.send_answer(connection, &id(1), "OK", "-", b"out");
     assert_eq!(clients[0].next_answer(), (1, 0));
-    let never_up = gateway.wait_for_log("never_stood=true");
-    assert!(never_up.contains("no connection in time"), "{never_up}");
+    let failed_connection = gateway.wait_for_log("never_stood=true");
+    assert!(failed_connection.contains("no connection in time"), "{failed_connection}");
     let run = gateway.wait_for_log(&format!("run id={}", id(4)));
     let attempt = run.split(' ').find(|word| word.starts_with("attempt=")).unwrap();
     let ended = gateway.wait_for_log(&format!("ended {attempt} "));
@@ -1016,14 +1034,15 @@
 #[test]
 fn a_request_is_sent_again_on_a_new_connection_when_its_host_restarts_under_the_same_id() {
     let (mut host, directory) = (ManualHost::new(), Directory::new(1));
-    let long_deadline_config =
+    let long_objective_config =
         one_host(&host.as_host(), &directory, "load").replace("\"aim\":600000", "\"aim\":4000000");
-    let gateway = Gateway::with_config(&long_deadline_config);
+    let gateway = Gateway::with_config(&long_objective_config);
     let mut client = gateway.connect();
     client.send_request_with_id(1, &id(1), "check", "5000");
     let (old, _) = host.next_command_named("invoke");
-    // The process went without a word, and another one has its address: nothing but the list says so.
-    // Starts are told in milliseconds: this one is in a later one than the connection.
+    // The host process ended without closing its connection, and another one has its address; only the list
+    // shows that. Start times have a resolution of a millisecond, so wait until the start is later than the
+    // connection.
     std::thread::sleep(Duration::from_millis(5));
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap();
     directory.set_host_start_time(now.as_millis() as u64);
@@ -1065,11 +1084,11 @@
     }
 }
 
-// The list.
+// The host list.
 
 #[test]
 fn after_hup_the_list_of_the_new_directory_is_used_while_a_query_to_the_old_one_is_open() {
-    // The old directory never answers, so a question is out at any time.
+    // The old directory never answers, so a query is open at any time.
     let (host_1, host_2, directory, new_directory) =
         (start_host(answer_ok), start_host(answer_ok), Directory::new(1), Directory::new(1));
     let hosts = [("s-1".to_owned(), host_1.address), ("s-2".to_owned(), host_2.address)];
@@ -1092,7 +1111,7 @@
 fn a_directory_that_stops_answering_one_socket_is_queried_from_another() {
     let (host_1, host_2, directory) = (start_host(answer_ok), start_host(answer_ok), Directory::new(1));
     directory.set_hosts(2, &[("s-1", host_1.address, 0), ("s-2", host_2.address, 0)]);
-    // Each address from which it is asked gets three answers, then none.
+    // Each querying address gets three answers, then none.
     directory.limit_answers_per_address(3);
     let gateway = Gateway::new(&[("s-1", &host_1)], &directory, "load");
     gateway.wait_for_log("list serial=2");
@@ -1115,11 +1134,11 @@
     gateway.wait_for_log("list serial=2");
     directory.limit_answers_per_address(0);
     gateway.wait_for_log("the directory is silent");
-    // Nothing is known of what happens meanwhile, and what is known serves on.
+    // Changes in the meantime are unknown, and the known hosts keep serving.
     assert_ten_requests_served(&gateway, "3000");
     let before = (invoke_count(&host_1), invoke_count(&host_2));
     assert_eq!(before.0 + before.1, 10);
-    // Events 3 to 9 are told at once: s-1 is gone without a drain, s-2 drains, s-3 is new.
+    // Events 3 to 9 arrive at once: s-1 is gone without a drain, s-2 drains, s-3 is new.
     directory.set_hosts(9, &[("s-2", host_2.address, 1), ("s-3", host_3.address, 0)]);
     directory.limit_answers_per_address(usize::MAX);
     gateway.wait_for_log("list serial=9");
@@ -1128,7 +1147,7 @@
         (invoke_count(&host_1), invoke_count(&host_2), invoke_count(&host_3)),
         (before.0, before.1, 10)
     );
-    // Older lists that come late, one, two and ten in a row, change nothing.
+    // Older lists that arrive late, one, two and ten in a row, are ignored.
     for (times, served) in [(1, 20), (2, 30), (10, 40)] {
         directory.queue_stale_answers(times, 8, &[("s-1", host_1.address, 0), ("s-2", host_2.address, 0)]);
         directory.wait_until_stale_sent();
@@ -1140,37 +1159,37 @@
     }
 }
 
-// Settings of another customer.
+// Configuration files.
 
 #[test]
 fn an_invalid_configuration_or_one_of_another_gateway_is_ignored_on_hup() {
-    let (host, other, directory, wrong) =
+    let (host, other, directory, other_directory) =
         (start_host(answer_ok), start_host(answer_ok), Directory::new(1), Directory::new(1));
     let valid_config = one_host(&host, &directory, "load");
     let gateway = Gateway::with_config(&valid_config);
-    wrong.set_hosts(9, &[("s-9", other.address, 0)]);
-    let elsewhere = one_host(&other, &wrong, "load");
+    other_directory.set_hosts(9, &[("s-9", other.address, 0)]);
+    let other_config = one_host(&other, &other_directory, "load");
     let files = [
         String::new(),
-        elsewhere[..elsewhere.len() / 2].to_owned(),
-        elsewhere.replace("\"check\"", "\"match\""),
-        elsewhere.replace("\"n0\"", "\"n7\""),
-        elsewhere.replace("\"profiles\"", "\"classes\""),
+        other_config[..other_config.len() / 2].to_owned(),
+        other_config.replace("\"check\"", "\"match\""),
+        other_config.replace("\"n0\"", "\"n7\""),
+        other_config.replace("\"profiles\"", "\"classes\""),
     ];
     for (n, file) in files.iter().enumerate() {
         gateway.write_config(file);
         gateway.signal("-HUP");
-        let output = || {
+        let rejections = || {
             let log = std::fs::read_to_string(gateway.log_path()).unwrap();
             log.lines().filter(|line| line.contains("the configuration stays as it was")).count()
         };
         let end = std::time::Instant::now() + peers::TEST_TIMEOUT;
-        while output() <= n {
-            assert!(std::time::Instant::now() < end, "file {n} was taken");
+        while rejections() <= n {
+            assert!(std::time::Instant::now() < end, "file {n} was used");
             std::thread::sleep(Duration::from_millis(2));
         }
     }
-    // The directory is the one it had.
+    // The gateway still uses its directory.
     directory.set_hosts(2, &[("s-1", host.address, 0)]);
     gateway.wait_for_log("list serial=2");
     let mut client = gateway.connect();
@@ -1209,7 +1228,7 @@
 #[test]
 fn a_request_not_answered_within_its_client_timeout_gets_an_answer_from_the_gateway() {
     let script =
-        |word: &str, _: usize| if word == "invoke" { HostAction::Nothing } else { answer_ok(word, 0) };
+        |name: &str, _: usize| if name == "invoke" { HostAction::Nothing } else { answer_ok(name, 0) };
     let (host, directory) = (start_host(script), Directory::new(1));
     let gateway = Gateway::new(&[("s-1", &host)], &directory, "load");
     let mut client = gateway.connect();
--- a/crates/cli/tests/customers.rs
+++ b/crates/cli/tests/customers.rs
@@ -1,7 +1,7 @@
-//! Gateways of customers that nobody wrote the program for: configurations drawn by seed, and a short exchange with each.
+//! Gateways with generated configurations: each is drawn from a seed, and a short exchange is run against it.
 //!
-//! What is looked at are the rules on what a gateway does by itself: one answer to each request and in time, no post
-//! sent twice, nothing to a host that drains, every class and tenant served by what the settings say of it.
+//! Checks what every gateway has to do whatever its configuration: one answer to each request and in time, no
+//! post sent twice, nothing to a draining host, and every class and tenant served as its settings say.
 
 mod peers;
 
@@ -10,7 +10,7 @@
 use cresswheel_platform_wire::client::{FromGateway, encode_request};
 use peers::{Client, Directory, Gateway, HostAction, answer_ok, invoke_count, start_host};
 
-/// A small generator of numbers: the same seed, the same customer.
+/// A small random number generator; the same seed gives the same generated.
 struct Rng(u64);
 
 impl Rng {
@@ -37,26 +37,26 @@
 struct Class {
     name: String,
     kind: &'static str,
-    wait_ms: u64,
+    timeout_ms: u64,
 }
 
-struct Customer {
+struct GeneratedConfig {
     settings: String,
     classes: Vec<Class>,
     tenants: Vec<String>,
     grace_ms: u64,
 }
 
-fn random_customer(seed: u64) -> Customer {
+fn generate_config(seed: u64) -> GeneratedConfig {
     let mut rng = Rng(seed);
     let mut classes: Vec<Class> = Vec::new();
     let mut profiles = String::new();
     for n in 0..1 + rng.below(6) {
         let kind = rng.choose(&["idempotent", "deduplicated", "at_most_once"]);
-        let (aim, wait_ms) = (50 + rng.below(3_000), 3_000 + rng.below(9_000));
+        let (aim, timeout_ms) = (50 + rng.below(3_000), 3_000 + rng.below(9_000));
         let name = format!("{}{n}", rng.name());
         let mut profile = format!(
-            "{{\"name\":\"{name}\",\"aim\":{aim}000,\"give_up\":{wait_ms}000,\"semantics\":\"{kind}\""
+            "{{\"name\":\"{name}\",\"aim\":{aim}000,\"give_up\":{timeout_ms}000,\"semantics\":\"{kind}\""
         );
         if rng.below(2) == 0 {
             let _ = write!(profile, ",\"value\":{}.5,\"late_value\":0.{}", rng.below(50), rng.below(10));
@@ -69,7 +69,7 @@
         profile.push('}');
         let comma = if classes.is_empty() { "" } else { "," };
         let _ = write!(profiles, "{comma}{profile}");
-        classes.push(Class { name, kind, wait_ms });
+        classes.push(Class { name, kind, timeout_ms });
     }
     let tenants: Vec<String> = (0..rng.below(4)).map(|n| format!("{}{n}", rng.name())).collect();
     let customers: Vec<String> = tenants
@@ -77,7 +77,7 @@
         .map(|name| format!("{{\"name\":\"{name}\",\"quota_per_s\":{}.0}}", 1 + rng.below(90)))
         .collect();
     let mut keys = vec![format!("\"profiles\":[{profiles}]")];
-    // Absent keys and unknown ones are a customer's right.
+    // Keys may be missing, and unknown keys are allowed.
     if !customers.is_empty() || rng.below(2) == 0 {
         keys.push(format!("\"customers\":[{}]", customers.join(",")));
     }
@@ -107,10 +107,10 @@
     ];
     keys.push(format!("\"rules\":{{\"drain_grace\":{grace_ms}000,\"tip_multiple\":{}.0}}", 1 + rng.below(5)));
     keys.extend(optional_keys.into_iter().filter(|_| rng.below(4) > 0));
-    Customer { settings: format!("{{{}}}", keys.join(",")), classes, tenants, grace_ms }
+    GeneratedConfig { settings: format!("{{{}}}", keys.join(",")), classes, tenants, grace_ms }
 }
 
-impl Customer {
+impl GeneratedConfig {
     fn config(&self, hosts: &[(&str, std::net::SocketAddr)], directory: std::net::SocketAddr) -> String {
         let member = |(id, address): &(&str, std::net::SocketAddr)| {
             format!(
@@ -128,7 +128,7 @@
     }
 
     fn send_request(&self, client: &mut Client, number: u32, class: &Class) {
-        let (id, wait) = (format!("{number:016x}"), class.wait_ms.to_string());
+        let (id, wait) = (format!("{number:016x}"), class.timeout_ms.to_string());
         let mut fields =
             vec![("class", class.name.as_str()), ("id", &id), ("wait", &wait), ("key", peers::FUNCTION)];
         if let Some(tenant) = self.tenants.get(number as usize % self.tenants.len().max(1)) {
@@ -144,23 +144,23 @@
     }
 }
 
-/// Each class is served, from the settings alone; what drains gets nothing more.
+/// Each class is served according to the settings alone; a draining host gets nothing more.
 #[test]
 fn random_configurations_serve_every_class_and_respect_a_drain() {
     for seed in 0..24 {
-        let customer = random_customer(seed);
+        let generated = generate_config(seed);
         let (host_1, host_2, directory) = (start_host(answer_ok), start_host(answer_ok), Directory::new(1));
         let hosts = [("s-1", host_1.address), ("s-2", host_2.address)];
-        let gateway = Gateway::with_config(&customer.config(&hosts, directory.address));
+        let gateway = Gateway::with_config(&generated.config(&hosts, directory.address));
         let mut client = gateway.connect();
         let mut number = 0;
         let mut serve = || {
-            for class in &customer.classes {
+            for class in &generated.classes {
                 number += 1;
-                customer.send_request(&mut client, number, class);
+                generated.send_request(&mut client, number, class);
                 let answer = client.next_frame();
                 let wanted = FromGateway::Answer(number, 0, None, b"out".to_vec());
-                assert_eq!(answer, Some(wanted), "seed {seed}, class {}: {}", class.name, customer.settings);
+                assert_eq!(answer, Some(wanted), "seed {seed}, class {}: {}", class.name, generated.settings);
             }
         };
         serve();
@@ -171,35 +171,36 @@
         assert_eq!(
             host_1.commands.lock().unwrap().len(),
             before,
-            "seed {seed}: it drains, grace {} ms",
-            customer.grace_ms
+            "seed {seed}: sent to a draining host, grace {} ms",
+            generated.grace_ms
         );
         assert_eq!(
             invoke_count(&host_1) + invoke_count(&host_2),
-            2 * customer.classes.len(),
+            2 * generated.classes.len(),
             "seed {seed}: each ran once"
         );
     }
 }
 
-/// A host that answers nothing: each class ends as its kind allows, within its client's time, and a post ran once.
+/// With a host that never answers, each class ends as its kind allows within the client timeout, and a post
+/// runs at most once.
 #[test]
 fn random_configurations_answer_once_and_in_time_when_hosts_never_answer() {
     for seed in 100..108 {
-        let customer = random_customer(seed);
-        let mute =
-            |word: &str, n: usize| if word == "invoke" { HostAction::Nothing } else { answer_ok(word, n) };
-        let (host, directory) = (start_host(mute), Directory::new(1));
-        let gateway = Gateway::with_config(&customer.config(&[("s-1", host.address)], directory.address));
+        let generated = generate_config(seed);
+        let never_answers =
+            |name: &str, n: usize| if name == "invoke" { HostAction::Nothing } else { answer_ok(name, n) };
+        let (host, directory) = (start_host(never_answers), Directory::new(1));
+        let gateway = Gateway::with_config(&generated.config(&[("s-1", host.address)], directory.address));
         let mut client = gateway.connect();
-        for (number, class) in (1..).zip(&customer.classes) {
-            let short = Class { name: class.name.clone(), kind: class.kind, wait_ms: 400 };
-            customer.send_request(&mut client, number, &short);
+        for (number, class) in (1..).zip(&generated.classes) {
+            let short = Class { name: class.name.clone(), kind: class.kind, timeout_ms: 400 };
+            generated.send_request(&mut client, number, &short);
         }
-        let mut answers: Vec<(u32, u8)> = customer.classes.iter().map(|_| client.next_answer()).collect();
+        let mut answers: Vec<(u32, u8)> = generated.classes.iter().map(|_| client.next_answer()).collect();
         answers.sort_unstable();
         let seen = host.commands.lock().unwrap().clone();
-        for ((number, class), (stream, code)) in (1u32..).zip(&customer.classes).zip(answers) {
+        for ((number, class), (stream, code)) in (1u32..).zip(&generated.classes).zip(answers) {
             let sent = seen.iter().filter(|line| **line == format!("invoke {number:016x}")).count();
             assert_eq!(stream, number, "seed {seed}: one answer each");
             match class.kind {
--- a/crates/cli/tests/drains.rs
+++ b/crates/cli/tests/drains.rs
@@ -1,8 +1,9 @@
-//! News of a drain that comes late, is lost, or crosses work that is on its way: nothing new may reach a host once the
-//! grace after the news is over, whatever kept the gateway from reading it. See docs/CROSSINGS.md, "Drains".
+//! Notice of a drain that arrives late, is lost, or crosses work that is in flight: nothing new may reach a
+//! host once the grace period after the notice is over, whatever kept the gateway from reading it. See
+//! docs/CROSSINGS.md, "Drains".
 //!
-//! The directory counts an event as told when an answer that holds it is sent, and 1.5 s after it happened at the
-//! latest; the grace in the settings of these tests is 1 s.
+//! The directory counts a gateway as notified of an event when an answer that contains it is sent, and at the
+//! latest 1.5 s after the event. The drain grace in the settings of these tests is 1 s.
 
 mod peers;
 
@@ -16,10 +17,10 @@
     start_host,
 };
 
-/// An event counts as told by then, and the grace after it is over.
+/// The gateway counts as notified by then, and the grace period after that is over.
 const AFTER_DRAIN_GRACE: Duration = Duration::from_millis(2_700);
 
-/// So many answers in a row that say the same are believed.
+/// This many consecutive answers that agree are trusted.
 const AGREEING_ANSWERS: usize = 3;
 
 const PRIORITY_READY: u16 = 0;
@@ -29,24 +30,25 @@
     format!("{number:016x}")
 }
 
-/// What a silent directory would have told counts as told, and the grace after it is over.
+/// The gateway counts as notified of what a silent directory didn't report, and the grace period after that
+/// is over.
 const AFTER_SILENCE_GRACE: Duration = Duration::from_millis(5_700);
 
-/// Two hosts, a directory that knows both, and the configuration of a gateway before them.
+/// Two hosts, a directory that lists both, and the configuration of a gateway in front of them.
 struct Fleet {
     hosts: Vec<(&'static str, Host)>,
-    /// Each host drains, and says so when it is asked.
+    /// Set while the host drains; it reports that to probes.
     draining: Vec<Arc<AtomicBool>>,
     directory: Directory,
 }
 
-/// A host that answers probes, and serves on while it drains.
+/// A host that answers probes, and still serves while it drains.
 fn probed_host(draining: &Arc<AtomicBool>) -> Host {
     let draining = draining.clone();
-    start_host(move |word, before| match word {
+    start_host(move |name, before| match name {
         "alive" if draining.load(Ordering::SeqCst) => HostAction::Answer("DOWN", "-", b""),
         "alive" => HostAction::Answer("UP", "-", b""),
-        _ => answer_ok(word, before),
+        _ => answer_ok(name, before),
     })
 }
 
@@ -61,12 +63,12 @@
 
     /// The configuration of a gateway that may probe hosts.
     fn config_with_probes(&self) -> String {
-        // Connections stand through the silences of these tests.
+        // Connections have to stay open while the directory is silent.
         let more = "\"cancel\":true,\"probes\":true,\"idle_close\":60000000";
         self.config().replace("\"cancel\":true", more)
     }
 
-    /// The directory says nothing from now on, and after it a host begins to drain.
+    /// Silences the directory, and starts the drain of a host after that.
     fn drain_in_silence(&self, host: usize) {
         self.directory.limit_answers_per_address(0);
         std::thread::sleep(Duration::from_millis(100));
@@ -78,7 +80,7 @@
         config(&listed, self.directory.address, "load")
     }
 
-    /// The directory knows, from now on, that this host drains.
+    /// From now on the directory lists this host as draining.
     fn set_draining(&self, serial: u32, draining: Option<usize>) {
         self.directory.set_hosts(serial, &self.listed(draining));
     }
@@ -90,12 +92,14 @@
         hosts.map(|(number, (id, host))| (*id, host.address, priority(number))).collect()
     }
 
-    /// The next so many answers are a list of the gateway's former life, under the number it had then: both hosts serve.
+    /// The next `times` answers are a list that an earlier gateway process was sent, with its serial from
+    /// then; it has both hosts ready.
     fn queue_stale_answers(&self, times: usize, serial: u32) {
         self.directory.queue_stale_answers(times, serial, &self.listed(None));
     }
 
-    /// A gateway of which an earlier process was told lists up to number 3; numbers begin anew with the next process.
+    /// Starts a gateway whose previous process was sent lists up to serial 3. Serials start again with the
+    /// new process.
     fn restarted(&self, config: &str) -> Gateway {
         let mut previous = Gateway::with_config(config);
         self.set_draining(3, None);
@@ -106,7 +110,8 @@
         Gateway::with_config(config)
     }
 
-    /// Has a request served, and gives the number of the host that served it: its function is there from now on.
+    /// Has a request served, and returns the index of the host that served it, which has the function loaded
+    /// from then on.
     fn serving_host(&self, client: &mut Client, number: u32) -> usize {
         let before = self.invoke_counts();
         client.send_request_with_id(number, &id(number), "check", "3000");
@@ -115,7 +120,7 @@
         (0..self.hosts.len()).find(|host| after[*host] > before[*host]).expect("a host that served it")
     }
 
-    /// Has requests 2 to 5 served, none of them by the host that drains.
+    /// Has requests 2 to 5 served, and checks that the draining host serves none of them.
     fn assert_served_without(&self, draining: usize, client: &mut Client) {
         let before = self.invoke_counts();
         for number in 2..=5 {
@@ -123,10 +128,10 @@
             assert_eq!(client.next_answer(), (number, 0), "the other host serves it");
         }
         let after = self.invoke_counts();
-        assert_eq!(after[draining], before[draining], "sent to a host past the grace of its drain");
+        assert_eq!(after[draining], before[draining], "sent to a host after its drain grace");
     }
 
-    /// Has functions served until a connection stands to each host.
+    /// Has requests for new functions served until every host has a connection.
     fn connect_to_all(&self, client: &mut Client) {
         for number in 100..200 {
             let function = format!("{number:016x}");
@@ -136,7 +141,7 @@
                 return;
             }
         }
-        panic!("one host gets nothing: {:?}", self.invoke_counts());
+        panic!("one host got nothing: {:?}", self.invoke_counts());
     }
 
     fn invoke_counts(&self) -> Vec<usize> {
@@ -157,7 +162,7 @@
     std::thread::sleep(AFTER_DRAIN_GRACE);
     gateway.resume();
     assert_eq!(client.next_answer(), (2, 0), "the other host serves it");
-    assert_eq!(fleet.invoke_counts()[serving], before[serving], "sent to a host past the grace of its drain");
+    assert_eq!(fleet.invoke_counts()[serving], before[serving], "sent to a host after its drain grace");
 }
 
 #[test]
@@ -166,8 +171,8 @@
     let (gateway, log) = Gateway::with_piped_log(&fleet.config());
     let mut client = gateway.connect();
     let serving = fleet.serving_host(&mut client, 1);
-    // Half of what the pipe holds, then a turn whose log is longer than the rest: the process stands in the middle of
-    // it, with requests begun that have not left.
+    // Fill half of the log pipe, then cause a loop iteration that logs more than the rest: the process blocks
+    // in the middle of it, with attempts started but not sent.
     log.set_reading(false);
     for _ in 0..250 {
         client.send_request_with_id(99, &id(99), "no-such-class", "5000");
@@ -190,13 +195,13 @@
     for other in &mut others {
         (0..32).for_each(|_| _ = other.next_answer());
     }
-    assert_eq!(fleet.invoke_counts()[serving], before[serving], "sent to a host past the grace of its drain");
+    assert_eq!(fleet.invoke_counts()[serving], before[serving], "sent to a host after its drain grace");
 }
 
 #[test]
 fn a_drain_is_respected_when_the_directory_answers_late() {
     let fleet = Fleet::new();
-    // Slower than any event may stay untold: 1.5 s.
+    // Slower than the 1.5 s after which a gateway counts as notified.
     fleet.directory.set_answer_delay(Duration::from_secs(2));
     let gateway = Gateway::with_config(&fleet.config());
     let mut client = gateway.connect();
@@ -216,12 +221,16 @@
     std::thread::sleep(AFTER_SILENCE_GRACE);
     let before = fleet.invoke_counts();
     fleet.assert_served_without(serving, &mut client);
-    // The directory comes back, with a list that does not know it yet, and then with one that names it anew.
+    // The directory returns with a list that doesn't contain the drain yet.
     fleet.directory.limit_answers_per_address(usize::MAX);
     gateway.wait_for_log("the directory answers again");
     client.send_request_with_id(6, &id(6), "check", "3000");
     assert_eq!(client.next_answer(), (6, 0));
-    assert_eq!(fleet.invoke_counts()[serving], before[serving], "its own word is newer than the list");
+    assert_eq!(
+        fleet.invoke_counts()[serving],
+        before[serving],
+        "the probe answer of the host is newer than the list"
+    );
 }
 
 #[test]
@@ -239,7 +248,7 @@
         let (stream, code) = client.next_answer();
         assert!(stream == number && code != 0, "all hosts drain: {code}");
     }
-    assert_eq!(fleet.invoke_counts(), before, "sent to a host that would have said that it drains");
+    assert_eq!(fleet.invoke_counts(), before, "sent to a host without a probe");
 }
 
 #[test]
@@ -256,8 +265,8 @@
     let before = fleet.invoke_counts();
     client.send_request_with_id(2, &id(2), "check", "5000");
     gateway.resume();
-    assert_eq!(client.next_answer(), (2, 0), "the other host says that it serves");
-    assert_eq!(fleet.invoke_counts()[serving], before[serving], "sent to a host past the grace of its drain");
+    assert_eq!(client.next_answer(), (2, 0), "the other host reports that it is ready");
+    assert_eq!(fleet.invoke_counts()[serving], before[serving], "sent to a host after its drain grace");
 }
 
 #[test]
@@ -272,7 +281,8 @@
     assert_eq!(client.next_answer(), (2, 0));
     fleet.directory.limit_answers_per_address(usize::MAX);
     gateway.wait_for_log("the directory answers again");
-    // A list as of 1.5 s after its word knows what happened before it.
+    // A list generated 1.5 s after the host's probe answer contains everything that happened before that
+    // answer.
     std::thread::sleep(Duration::from_secs(2));
     let before = fleet.invoke_counts();
     fleet.draining[1 - serving].store(true, Ordering::SeqCst);
@@ -293,12 +303,13 @@
     std::thread::sleep(AFTER_SILENCE_GRACE);
     client.send_request_with_id(2, &id(2), "check", "3000");
     assert_eq!(client.next_answer(), (2, 0));
-    let probes =
-        |host: &Host| host.commands.lock().unwrap().iter().filter(|seen| seen.starts_with("alive")).count();
+    let probes = |host: &Host| {
+        host.commands.lock().unwrap().iter().filter(|command| command.starts_with("alive")).count()
+    };
     assert_eq!(
         fleet.hosts.iter().map(|(_, host)| probes(host)).sum::<usize>(),
         0,
-        "settings allow no probes"
+        "the settings allow no probes"
     );
 }
 
@@ -311,7 +322,7 @@
     let serving = fleet.serving_host(&mut client, 1);
     fleet.directory.set_answer_delay(Duration::from_millis(700));
     fleet.set_draining(2, Some(serving));
-    // Asked by now, and the answer is on its way.
+    // By now the query was sent, and its answer is in flight.
     std::thread::sleep(Duration::from_millis(350));
     gateway.write_config(
         &fleet.config().replace(&fleet.directory.address.to_string(), &silent.address.to_string()),
@@ -322,10 +333,14 @@
     let before = fleet.invoke_counts();
     client.send_request_with_id(2, &id(2), "check", "3000");
     assert_eq!(client.next_answer(), (2, 0));
-    assert_eq!(fleet.invoke_counts()[serving], before[serving], "sent to a host of whose drain it was told");
+    assert_eq!(
+        fleet.invoke_counts()[serving],
+        before[serving],
+        "sent to a host although its drain was known"
+    );
 }
 
-/// The number behind a name in the fields of a command.
+/// The number of a named field of a command.
 fn field(command: &[String], name: &str) -> u64 {
     let mut fields = command[2].split(',').filter_map(|field| field.split_once('='));
     fields.find(|(n, _)| *n == name).and_then(|(_, value)| value.parse().ok()).expect("the field")
@@ -347,7 +362,8 @@
     client.send_request_with_id(3, &id(3), "check", &(2 * PAUSE_MS).to_string());
     std::thread::sleep(Duration::from_millis(PAUSE_MS));
     gateway.resume();
-    // One whose time is over is answered at once, and not sent; the other has half of its time, and 0.15 s of slack.
+    // A request whose time has expired is answered at once and not sent; the other has half of its time left,
+    // plus 0.15 s of slack.
     assert_eq!(client.next_answer(), (2, 8));
     let (connection, command) = host.next_command_named("invoke");
     assert_eq!(command[1], id(3));
@@ -365,7 +381,7 @@
         .replace("\"sockets\":256", "\"sockets\":26");
     let gateway = Gateway::with_config(&large_memory_config);
     let mut client = gateway.connect();
-    // The host reads nothing, and its one connection is full of the requests before.
+    // The host reads nothing, and its only connection is full of the earlier requests.
     host.accepts_paused = true;
     const QUEUED: u32 = 25;
     for number in 1..=QUEUED {
@@ -378,7 +394,7 @@
             &[7; 16 << 10],
         ));
     }
-    // Not repeatable, so that its attempt has all of the client's time.
+    // At most once, so that its attempt gets all of the client's time.
     client.send_request_with_id(QUEUED + 1, &id(QUEUED + 1), "post", "5000");
     gateway.wait_for_log(&format!("run id={}", id(QUEUED + 1)));
     std::thread::sleep(Duration::from_millis(WAIT_MS));
@@ -426,7 +442,7 @@
     fleet.set_draining(2, Some(serving));
     gateway.wait_for_log("list serial=2");
     std::thread::sleep(AFTER_DRAIN_GRACE);
-    // From here on nothing but the old lists is heard.
+    // From here on the gateway receives only the old lists.
     fleet.directory.queue_stale_answers_then_silence(AGREEING_ANSWERS - 1, 3, &fleet.listed(None));
     fleet.directory.wait_until_stale_sent();
     std::thread::sleep(Duration::from_millis(100));
@@ -481,12 +497,12 @@
         gateway.wait_for_log_count("an answer contradicts the list", times);
         let number = times as u32 + 1;
         client.send_request_with_id(number, &id(number), "check", "3000");
-        assert_eq!(client.next_answer(), (number, 0), "it waits until answers agree");
+        assert_eq!(client.next_answer(), (number, 0), "the request waits until answers agree");
         gateway.wait_for_log_count("answers agree again", times);
     }
 }
 
-/// Both hosts are disputed by an old list, and nothing more is heard.
+/// Both hosts are disputed by an old list, and the directory is silent after it.
 fn disputed_in_silence(fleet: &Fleet, config: &str) -> (Gateway, Client) {
     let gateway = fleet.restarted(config);
     let mut client = gateway.connect();
@@ -503,13 +519,13 @@
     let fleet = Fleet::new();
     let (_gateway, mut client) = disputed_in_silence(&fleet, &fleet.config_with_probes());
     client.send_request_with_id(2, &id(2), "check", "3000");
-    assert_eq!(client.next_answer(), (2, 0), "a host says that it serves");
+    assert_eq!(client.next_answer(), (2, 0), "a host reports that it is ready");
     fleet.draining.iter().for_each(|draining| draining.store(true, Ordering::SeqCst));
-    // A host's word counts as long as a list does.
+    // A probe answer of a host is valid as long as a list is.
     std::thread::sleep(AFTER_DRAIN_GRACE);
     let before = fleet.invoke_counts();
     client.send_request_with_id(3, &id(3), "check", "2000");
-    assert_ne!(client.next_answer().1, 0, "both say that they drain");
+    assert_ne!(client.next_answer().1, 0, "both report that they drain");
     assert_eq!(fleet.invoke_counts(), before);
 }
 
@@ -519,7 +535,7 @@
     let (gateway, mut client) = disputed_in_silence(&fleet, &fleet.config());
     let before = fleet.invoke_counts();
     client.send_request_with_id(2, &id(2), "check", "1000");
-    assert_ne!(client.next_answer().1, 0, "no host is called ready by all answers");
+    assert_ne!(client.next_answer().1, 0, "not all answers list a host as ready");
     assert_eq!(fleet.invoke_counts(), before);
     fleet.directory.limit_answers_per_address(usize::MAX);
     gateway.wait_for_log("answers agree again");
@@ -533,7 +549,7 @@
     let gateway = Gateway::with_config(&fleet.config());
     let mut client = gateway.connect();
     let serving = fleet.serving_host(&mut client, 1);
-    // The file of a later start: other hosts, and a number far ahead.
+    // The file of a later start, with other hosts and a much higher serial.
     let gone = [("s-0".to_owned(), SocketAddr::from(([127, 0, 0, 1], 1)))];
     let other = Directory::new(1);
     other.set_hosts(1, &fleet.listed(None));
@@ -554,7 +570,7 @@
     let gateway = Gateway::with_config(&fleet.config());
     let mut client = gateway.connect();
     let serving = fleet.serving_host(&mut client, 1);
-    // At least one answer with the drain is sent and lost, and fewer than would be a silence.
+    // At least one answer that contains the drain is sent and lost, but fewer than count as a silence.
     fleet.directory.limit_answers_per_address(0);
     fleet.set_draining(2, Some(serving));
     std::thread::sleep(Duration::from_millis(230));
@@ -565,5 +581,5 @@
     fleet.directory.limit_answers_per_address(usize::MAX);
     gateway.resume();
     assert_eq!(client.next_answer(), (2, 0), "the other host serves it");
-    assert_eq!(fleet.invoke_counts()[serving], before[serving], "sent to a host past the grace of its drain");
+    assert_eq!(fleet.invoke_counts()[serving], before[serving], "sent to a host after its drain grace");
 }
--- a/crates/cli/tests/peers/mod.rs
+++ b/crates/cli/tests/peers/mod.rs
@@ -1,5 +1,5 @@
-//! What the tests of the gateway on the platform share: the process, and the clients, hosts and directory that a test
-//! plays.
+//! Shared by the tests of the platform gateway: the gateway process, and the clients, hosts and directory
+//! (the platform's host list service) that a test simulates.
 #![allow(dead_code)]
 
 use std::collections::{HashMap, VecDeque};
@@ -18,25 +18,28 @@
 use cresswheel_platform_wire::host::{encode_answer, take_command};
 use cresswheel_protocol::{Listed, Standing};
 
-/// Nothing in these tests takes as long; what does is a failure.
+/// Upper bound for every wait in these tests; exceeding it is a failure.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 pub const FUNCTION: &str = "7f3a9c21e0b4d655";
 
-/// What a host does with a command.
+/// How a host reacts to a command.
 pub enum HostAction {
+    /// Sends an answer with this status, fields and body.
     Answer(&'static str, &'static str, &'static [u8]),
+    /// Sends raw bytes.
     Bytes(&'static [u8]),
-    /// Ends the connection in good order.
+    /// Closes the connection without a reset.
     Close,
     Nothing,
 }
 
 pub type HostScript = Arc<dyn Fn(&str, usize) -> HostAction + Send + Sync>;
 
-/// A host: answers by a script, which is told the command's first word and how often that came before.
+/// A host that answers by a script, which gets the name of the command and how often that command came
+/// before.
 pub struct Host {
     pub address: SocketAddr,
-    /// `word id-or-tag` of each command.
+    /// `name id-or-tag` of each command.
     pub commands: Arc<Mutex<Vec<String>>>,
 }
 
@@ -44,11 +47,11 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let commands: Arc<Mutex<Vec<String>>> = Arc::default();
-    let (script, log): (HostScript, _) = (Arc::new(script), commands.clone());
+    let (script, command_log): (HostScript, _) = (Arc::new(script), commands.clone());
     std::thread::spawn(move || {
         for socket in listener.incoming() {
-            let (script, log) = (script.clone(), log.clone());
-            std::thread::spawn(move || serve_connection(socket.unwrap(), &script, &log));
+            let (script, command_log) = (script.clone(), command_log.clone());
+            std::thread::spawn(move || serve_connection(socket.unwrap(), &script, &command_log));
         }
     });
     Host { address, commands }
@@ -59,16 +62,18 @@
     loop {
         while let Some(command) = take_command(&mut received).expect("commands") {
             let text = |n: usize| String::from_utf8_lossy(command.get(n).map_or(&[], |p| p)).into_owned();
-            let (word, id) = (text(0), text(1));
+            let (name, id) = (text(0), text(1));
             let before = {
                 let mut commands = commands.lock().unwrap();
-                let before = commands.iter().filter(|line| line.starts_with(&word)).count();
-                commands.push(format!("{word} {id}"));
+                let before = commands.iter().filter(|line| line.starts_with(&name)).count();
+                commands.push(format!("{name} {id}"));
                 before
             };
             let mut out = Vec::new();
-            match script(&word, before) {
-                HostAction::Answer(word, fields, body) => encode_answer(&mut out, &id, word, fields, body),
+            match script(&name, before) {
+                HostAction::Answer(status, fields, body) => {
+                    encode_answer(&mut out, &id, status, fields, body)
+                }
                 HostAction::Bytes(bytes) => out.extend_from_slice(bytes),
                 HostAction::Close => return,
                 HostAction::Nothing => {}
@@ -84,33 +89,33 @@
     }
 }
 
-pub fn answer_ok(word: &str, _: usize) -> HostAction {
-    match word {
+pub fn answer_ok(name: &str, _: usize) -> HostAction {
+    match name {
         "invoke" => HostAction::Answer("OK", "rivals=1", b"out"),
         "prewarm" => HostAction::Answer("OK", "instances=1", b""),
         _ => HostAction::Nothing,
     }
 }
 
-/// A serial, and hosts with their priorities.
+/// A serial, and the hosts with their priorities.
 pub type HostList = (u32, Vec<(String, SocketAddr, u16)>);
 pub type SharedHostList = Arc<Mutex<HostList>>;
 
-/// An old list that is given in place of the current one.
+/// An outdated list that is sent instead of the current one.
 #[derive(Debug)]
 struct StaleAnswer {
     answer: HostList,
-    /// The directory says nothing more after it.
+    /// The directory sends no further answers after it.
     then_silent: bool,
 }
 
-/// A directory; it says nothing until it has hosts to tell of.
+/// A directory. It doesn't answer while its list is empty.
 #[derive(Clone)]
 pub struct Directory {
     pub address: SocketAddr,
     pub list: SharedHostList,
-    /// Given first, one for each question.
-    stale: Arc<Mutex<VecDeque<StaleAnswer>>>,
+    /// Sent before the current list, one for each query.
+    stale_answers: Arc<Mutex<VecDeque<StaleAnswer>>>,
     answer_limit: Arc<AtomicUsize>,
     host_start_ms: Arc<AtomicU64>,
     delay_ms: Arc<AtomicU64>,
@@ -122,8 +127,8 @@
         let address = socket.local_addr().unwrap();
         let list: SharedHostList = Arc::new(Mutex::new((serial, vec![])));
         let current_list = list.clone();
-        let stale: Arc<Mutex<VecDeque<StaleAnswer>>> = Arc::default();
-        let pending_stale = stale.clone();
+        let stale_answers: Arc<Mutex<VecDeque<StaleAnswer>>> = Arc::default();
+        let pending_stale = stale_answers.clone();
         let answer_limit = Arc::new(AtomicUsize::new(usize::MAX));
         let limit = answer_limit.clone();
         let host_start_ms = Arc::new(AtomicU64::new(0));
@@ -151,20 +156,20 @@
                 }
             }
         });
-        Self { address, list, stale, answer_limit, host_start_ms, delay_ms }
+        Self { address, list, stale_answers, answer_limit, host_start_ms, delay_ms }
     }
 
-    /// From now on each answer tells what held when it was asked for, and leaves that much later.
+    /// Delays each answer; it contains the list as of the query.
     pub fn set_answer_delay(&self, delay: Duration) {
         self.delay_ms.store(delay.as_millis() as u64, Ordering::SeqCst);
     }
 
-    /// From now on each address that asks gets so many answers at most.
+    /// Limits the number of answers to each querying address.
     pub fn limit_answers_per_address(&self, most: usize) {
         self.answer_limit.store(most, Ordering::SeqCst);
     }
 
-    /// From now on all hosts are told to have started at that Unix millisecond.
+    /// Sets the start time, in Unix milliseconds, that is reported for all hosts.
     pub fn set_host_start_time(&self, unix_ms: u64) {
         self.host_start_ms.store(unix_ms, Ordering::SeqCst);
     }
@@ -173,13 +178,13 @@
         *self.list.lock().unwrap() = (serial, to_owned_hosts(hosts));
     }
 
-    /// The next so many questions are answered with this old list, and with what is told again after that.
+    /// Answers the next `times` queries with this outdated list, then with the current one again.
     pub fn queue_stale_answers(&self, times: usize, serial: u32, hosts: &[(&str, SocketAddr, u16)]) {
         let stale = |_| StaleAnswer { answer: (serial, to_owned_hosts(hosts)), then_silent: false };
-        self.stale.lock().unwrap().extend((0..times).map(stale));
+        self.stale_answers.lock().unwrap().extend((0..times).map(stale));
     }
 
-    /// The same, and then it says nothing more.
+    /// Like `queue_stale_answers`, but sends no further answers afterwards.
     pub fn queue_stale_answers_then_silence(
         &self,
         times: usize,
@@ -187,14 +192,14 @@
         hosts: &[(&str, SocketAddr, u16)],
     ) {
         let stale = |n| StaleAnswer { answer: (serial, to_owned_hosts(hosts)), then_silent: n == times };
-        self.stale.lock().unwrap().extend((1..=times).map(stale));
+        self.stale_answers.lock().unwrap().extend((1..=times).map(stale));
     }
 
-    /// Waits until every old list has been given.
+    /// Waits until every outdated list was sent.
     pub fn wait_until_stale_sent(&self) {
         let end = Instant::now() + TEST_TIMEOUT;
-        while !self.stale.lock().unwrap().is_empty() {
-            assert!(Instant::now() < end, "nobody asks");
+        while !self.stale_answers.lock().unwrap().is_empty() {
+            assert!(Instant::now() < end, "the directory was not queried");
             std::thread::sleep(Duration::from_millis(1));
         }
     }
@@ -206,7 +211,7 @@
 
 fn send_after(socket: &UdpSocket, to: SocketAddr, bytes: Vec<u8>, delay: Duration) {
     if delay.is_zero() {
-        // Whoever asked may have closed its socket since; that is no error of this side.
+        // The receiver may have closed its socket since; that isn't an error here.
         let _ = socket.send_to(&bytes, to);
         return;
     }
@@ -278,7 +283,7 @@
     )
 }
 
-/// The log of a process, which may be left unread.
+/// The read end of a process's log pipe, which may be left unread.
 pub struct LogPipe {
     reading: Arc<AtomicBool>,
 }
@@ -289,7 +294,7 @@
     }
 }
 
-fn copy_log_while(mut log: impl Read, mut file: std::fs::File, reading: &AtomicBool) {
+fn copy_log_while_reading(mut log: impl Read, mut file: std::fs::File, reading: &AtomicBool) {
     let mut chunk = [0; 4096];
     loop {
         if !reading.load(Ordering::SeqCst) {
@@ -323,19 +328,19 @@
         gateway
     }
 
-    /// One with this configuration.
+    /// Starts a gateway with this configuration and waits until it listens.
     pub fn with_config(config: &str) -> Self {
         Self::spawn_with_config(config).wait_until_listening()
     }
 
-    /// The same, which may not listen yet.
+    /// Starts a gateway with this configuration; it may not listen yet.
     pub fn spawn_with_config(config: &str) -> Self {
         let mut command = Command::new(env!("CARGO_BIN_EXE_cresswheel"));
         command.args(["--log", "debug", "platform"]);
         Self::spawn(command, config)
     }
 
-    /// One that the system lets open so many descriptors, whatever its configuration says.
+    /// Starts a gateway with this limit on open descriptors (`ulimit -n`), whatever its configuration says.
     pub fn with_descriptor_limit(config: &str, limit: usize) -> Self {
         let mut shell = Command::new("/bin/sh");
         let run =
@@ -344,8 +349,8 @@
         Self::spawn(shell, config).wait_until_listening()
     }
 
-    /// One whose log goes through a pipe that is read only while the test wants it to be: once the pipe is full, the
-    /// process stands where it is, in the middle of its turn.
+    /// Starts a gateway whose log goes through a pipe that is read only while the test wants it to be. Once
+    /// the pipe is full, the process blocks in the middle of a loop iteration.
     pub fn with_piped_log(config: &str) -> (Self, LogPipe) {
         let (reader, writer) = std::io::pipe().unwrap();
         let mut command = Command::new(env!("CARGO_BIN_EXE_cresswheel"));
@@ -354,7 +359,7 @@
         let reading = Arc::new(AtomicBool::new(true));
         let (log, reading_flag) = (gateway.log_path(), reading.clone());
         let file = std::fs::File::create(log).unwrap();
-        std::thread::spawn(move || copy_log_while(reader, file, &reading_flag));
+        std::thread::spawn(move || copy_log_while_reading(reader, file, &reading_flag));
         (gateway.wait_until_listening(), LogPipe { reading })
     }
 
@@ -372,7 +377,7 @@
         Self { child, address: unbound, folder, hosts: Vec::new(), when_absent: "" }
     }
 
-    /// Waits until it listens.
+    /// Waits until the gateway listens.
     pub fn wait_until_listening(mut self) -> Self {
         let line = self.wait_for_log("listens address=");
         self.address = line.rsplit('=').next().unwrap().parse().unwrap();
@@ -383,22 +388,22 @@
         self.folder.path().join("log")
     }
 
-    /// Waits until the log has a line with these words.
+    /// Waits until the log has a line that contains this text, and returns it.
     pub fn wait_for_log(&self, text: &str) -> String {
         self.wait_for_log_count(text, 1)
     }
 
-    /// Waits until it has so many; gives the last of them.
+    /// Waits until the log has this many such lines, and returns the last of them.
     pub fn wait_for_log_count(&self, text: &str, times: usize) -> String {
         let end = Instant::now() + TEST_TIMEOUT;
         loop {
             let log = std::fs::read_to_string(self.log_path()).unwrap();
-            // The last line may not be whole yet.
+            // The last line may be incomplete.
             let whole = log.rsplit_once('\n').map_or("", |(whole, _)| whole);
             if let Some(line) = whole.lines().filter(|line| line.contains(text)).nth(times - 1) {
                 return line.to_owned();
             }
-            assert!(Instant::now() < end, "the log never said {text:?}:\n{log}");
+            assert!(Instant::now() < end, "the log does not contain {text:?}:\n{log}");
             std::thread::sleep(Duration::from_millis(5));
         }
     }
@@ -408,18 +413,18 @@
         assert!(done.success());
     }
 
-    /// Replaces its configuration.
+    /// Replaces the configuration file.
     pub fn write_config(&self, config: &str) {
         std::fs::write(self.folder.path().join("config.json"), config).unwrap();
     }
 
-    /// Stops the process where it stands: what others do now comes to it all at once when it is woken.
+    /// Stops the process with SIGSTOP: what arrives now is found all at once when it resumes.
     pub fn pause(&self) {
         self.signal("-STOP");
         let end = Instant::now() + TEST_TIMEOUT;
         let stat = format!("/proc/{}/stat", self.child.id());
         while !std::fs::read_to_string(&stat).unwrap().rsplit(')').next().unwrap().starts_with(" T") {
-            assert!(Instant::now() < end, "it never stopped");
+            assert!(Instant::now() < end, "the process did not stop");
             std::thread::sleep(Duration::from_millis(1));
         }
     }
@@ -432,8 +437,8 @@
         Client::from_socket(TcpStream::connect(self.address).unwrap())
     }
 
-    /// A client for which the kernel holds some tens of kilobytes at most until it reads: its window and its segments
-    /// are small, and with them the buffer at the gateway's side.
+    /// A client for which the kernel buffers some tens of kilobytes at most: a small receive window and small
+    /// segments also keep the gateway's send buffer small.
     pub fn connect_with_small_buffers(&self) -> Client {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.set_recv_buffer_size(4 << 10).unwrap();
@@ -448,7 +453,7 @@
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status.code();
             }
-            assert!(Instant::now() < end, "it never ended");
+            assert!(Instant::now() < end, "the process did not exit");
             std::thread::sleep(Duration::from_millis(5));
         }
     }
@@ -466,7 +471,8 @@
         Self { socket, received: Vec::new(), next_stream: 0 }
     }
 
-    /// Asks; the stream is the number of the request on this connection, and the id is made from it and `salt`.
+    /// Sends a request. The stream is the number of the request on this connection; the id is made from it
+    /// and `salt`.
     pub fn send_request(&mut self, class: &str, wait: &str, salt: u64) -> u32 {
         self.next_stream += 1;
         let id = format!("{:08x}{:08x}", salt, self.next_stream);
@@ -478,7 +484,8 @@
         self.send_bytes(&request_frame(stream, id, class, wait, FUNCTION, b"in"));
     }
 
-    /// Asks as `ask` does, on a connection that may have ended; whether all of it was written.
+    /// Like `send_request`, on a connection that may be closed; returns whether the whole request was
+    /// written.
     pub fn try_send_request(&mut self, class: &str, wait: &str, salt: u64) -> bool {
         self.next_stream += 1;
         let id = format!("{:08x}{:08x}", salt, self.next_stream);
@@ -489,19 +496,19 @@
         self.socket.write_all(bytes).unwrap();
     }
 
-    /// Takes back what was asked on a stream.
+    /// Cancels the request on a stream.
     pub fn cancel(&mut self, stream: u32) {
         let mut bytes = Vec::new();
         encode_bare(&mut bytes, false, stream);
         self.send_bytes(&bytes);
     }
 
-    /// Closes with a reset.
+    /// Closes the connection with a reset.
     pub fn reset(self) {
         socket2::SockRef::from(&self.socket).set_linger(Some(Duration::ZERO)).unwrap();
     }
 
-    /// The next frame; `None`: the connection has ended.
+    /// The next frame; `None` if the connection was closed.
     pub fn next_frame(&mut self) -> Option<FromGateway> {
         loop {
             if let Some(frame) = take_from_gateway(&mut self.received).unwrap() {
@@ -518,7 +525,7 @@
         }
     }
 
-    /// The next answer: its stream and its code.
+    /// The stream and code of the next answer.
     pub fn next_answer(&mut self) -> (u32, u8) {
         loop {
             match self.next_frame().expect("an answer") {
@@ -530,7 +537,7 @@
     }
 }
 
-/// The bytes of a request.
+/// The encoded frame of a request.
 pub fn request_frame(stream: u32, id: &str, class: &str, wait: &str, function: &str, body: &[u8]) -> Vec<u8> {
     let fields = [
         ("class", class),
@@ -544,12 +551,12 @@
     out
 }
 
-/// A host of which the test speaks every word itself, on each of its connections.
+/// A host whose connections and answers the test controls step by step.
 pub struct ManualHost {
     listener: TcpListener,
     pub address: SocketAddr,
     connections: Vec<Option<(TcpStream, Vec<u8>)>>,
-    /// Connections that come are left waiting.
+    /// New connections stay in the backlog.
     pub accepts_paused: bool,
 }
 
@@ -558,7 +565,7 @@
         Self::from_listener(TcpListener::bind("127.0.0.1:0").unwrap())
     }
 
-    /// One whose machine holds one connection that it did not take yet; further ones don't come up.
+    /// A host with a listen backlog of one connection; further connections are not established.
     pub fn with_backlog_of_one() -> Self {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
@@ -572,7 +579,7 @@
         Self { listener, address, connections: Vec::new(), accepts_paused: false }
     }
 
-    /// One whose connections hold a few kilobytes of what it did not read.
+    /// A host whose connections buffer only a few kilobytes of unread data.
     pub fn with_small_receive_buffer() -> Self {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.set_recv_buffer_size(4 << 10).unwrap();
@@ -582,18 +589,18 @@
         Self::from_listener(socket.into())
     }
 
-    /// Connections that came, those that ended included.
+    /// Accepted connections, including closed ones.
     pub fn connection_count(&self) -> usize {
         self.connections.len()
     }
 
-    /// Reads a connection to its end; gives the ids of the whole requests on it, and how many bytes followed the last.
+    /// Reads a connection to its end. Returns the ids of the complete requests on it, and how many bytes
+    /// followed the last one.
     pub fn read_to_end(&mut self, connection: usize) -> (Vec<String>, usize) {
-        let (mut socket, mut received) =
-            self.connections[connection].take().expect("a connection that was not ended");
+        let (mut socket, mut received) = self.connections[connection].take().expect("an open connection");
         socket.set_nonblocking(false).unwrap();
         socket.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
-        socket.read_to_end(&mut received).expect("its end");
+        socket.read_to_end(&mut received).expect("the end of the connection");
         let mut ids = Vec::new();
         while let Some(command) = take_command(&mut received).expect("commands") {
             if command[0] == b"invoke" {
@@ -607,12 +614,12 @@
         Host { address: self.address, commands: Arc::default() }
     }
 
-    /// The next command, and the number of the connection that it came on.
+    /// The index of the connection of the next command, and the command.
     pub fn next_command(&mut self) -> (usize, Vec<String>) {
         self.next_command_within(TEST_TIMEOUT).expect("a command")
     }
 
-    /// The same; `None`: there was none for so long.
+    /// Like `next_command`; `None` if no command arrives within `span`.
     pub fn next_command_within(&mut self, span: Duration) -> Option<(usize, Vec<String>)> {
         let end = Instant::now() + span;
         loop {
@@ -647,7 +654,7 @@
         None
     }
 
-    /// The next command with this first word; others are passed over.
+    /// The next command with this name; others are skipped.
     pub fn next_command_named(&mut self, name: &str) -> (usize, Vec<String>) {
         loop {
             let (connection, command) = self.next_command();
@@ -664,18 +671,18 @@
     }
 
     pub fn send_bytes(&mut self, connection: usize, bytes: &[u8]) {
-        let (socket, _) = self.connections[connection].as_mut().expect("a connection that was not ended");
+        let (socket, _) = self.connections[connection].as_mut().expect("an open connection");
         socket.set_nonblocking(false).unwrap();
         socket.write_all(bytes).unwrap();
         socket.set_nonblocking(true).unwrap();
     }
 
-    /// Ends a connection in good order.
+    /// Closes a connection without a reset.
     pub fn close(&mut self, connection: usize) {
         self.connections[connection] = None;
     }
 
-    /// Ends a connection with a reset.
+    /// Closes a connection with a reset.
     pub fn reset(&mut self, connection: usize) {
         if let Some((socket, _)) = self.connections[connection].take() {
             socket2::SockRef::from(&socket).set_linger(Some(Duration::ZERO)).unwrap();
--- a/crates/cli/tests/platform.rs
+++ b/crates/cli/tests/platform.rs
@@ -1,4 +1,4 @@
-//! A gateway on the platform, as a process, between clients, hosts and a directory that the tests play.
+//! A gateway process on the platform, with clients, hosts and a directory simulated by the tests.
 
 mod peers;
 
@@ -31,8 +31,8 @@
     let mut answers: Vec<_> = (0..3).map(|_| client.next_answer()).collect();
     answers.sort_unstable();
     assert_eq!(answers, [(2, 8), (3, 8), (4, 0)]);
-    assert_eq!(invoke_count(&host), 2, "what can't be used reaches no host");
-    // A frame that is none ends the connection with a word, and no other connection.
+    assert_eq!(invoke_count(&host), 2, "invalid requests reach no host");
+    // An invalid frame closes its connection with an error, and no other connection.
     let mut other = gateway.connect();
     other.socket.write_all(&[0, 0, 0, 0, 100]).unwrap();
     assert!(matches!(other.next_frame(), Some(FromGateway::Answer(0, 13, None, _))));
@@ -48,11 +48,11 @@
     let mut client = gateway.connect();
     client.send_request_with_id(1, "00000000000000aa", "post", "1500");
     client.send_request_with_id(2, "00000000000000aa", "post", "1500");
-    assert_eq!(client.next_answer(), (2, 8), "the id is open");
+    assert_eq!(client.next_answer(), (2, 8), "the id is in use");
     client.send_request_with_id(1, "00000000000000ab", "post", "1500");
-    assert_eq!(client.next_answer(), (0, 13), "the stream is open");
-    assert_eq!(client.next_answer(), (1, 13), "the first one fails in its own time: it may have run");
-    assert_eq!(client.next_frame(), None, "then the connection ends");
+    assert_eq!(client.next_answer(), (0, 13), "the stream is in use");
+    assert_eq!(client.next_answer(), (1, 13), "the first request fails at its own timeout: it may have run");
+    assert_eq!(client.next_frame(), None, "then the connection is closed");
     assert_eq!(invoke_count(&host), 1);
 }
 
@@ -60,24 +60,24 @@
 fn silent_and_incomplete_connections_time_out_and_one_with_an_open_request_stays() {
     let (host, directory) = (start_host(|_, _| HostAction::Nothing), Directory::new(1));
     let gateway = Gateway::new(&[("s-1", &host)], &directory, "load");
-    let mut asking = gateway.connect();
-    asking.send_request("post", "4000", 1);
-    let began = Instant::now();
-    let (mut silent, mut half) = (gateway.connect(), gateway.connect());
-    half.socket.write_all(&[200, 0, 0, 0, 100, 1]).unwrap();
-    assert_eq!((silent.next_frame(), half.next_frame()), (None, None));
-    assert!(began.elapsed() < Duration::from_secs(3), "{:?}", began.elapsed());
-    assert_eq!(asking.next_answer(), (1, 13));
+    let mut waiting = gateway.connect();
+    waiting.send_request("post", "4000", 1);
+    let start = Instant::now();
+    let (mut silent, mut incomplete) = (gateway.connect(), gateway.connect());
+    incomplete.socket.write_all(&[200, 0, 0, 0, 100, 1]).unwrap();
+    assert_eq!((silent.next_frame(), incomplete.next_frame()), (None, None));
+    assert!(start.elapsed() < Duration::from_secs(3), "{:?}", start.elapsed());
+    assert_eq!(waiting.next_answer(), (1, 13));
 }
 
 #[test]
 fn a_malformed_answer_fails_a_post_and_retries_a_check() {
     for (class, code, times) in [("post", 13, 1), ("check", 0, 2)] {
-        let spoilt = |word: &str, before: usize| match (word, before) {
+        let malformed = |name: &str, before: usize| match (name, before) {
             ("invoke", 0) => HostAction::Bytes(b"*4\r\n$3000000000\r\n"),
-            _ => answer_ok(word, before),
+            _ => answer_ok(name, before),
         };
-        let (host, directory) = (start_host(spoilt), Directory::new(1));
+        let (host, directory) = (start_host(malformed), Directory::new(1));
         let gateway = Gateway::new(&[("s-1", &host)], &directory, "load");
         let mut client = gateway.connect();
         client.send_request(class, "3000", 1);
@@ -91,9 +91,9 @@
     let more = b"*4\r\n$16\r\n00000000000000aa\r\n$2\r\nOK\r\n$1\r\n-\r\n$1\r\n1\r\n\
                  *4\r\n$16\r\n00000000000000aa\r\n$2\r\nOK\r\n$1\r\n-\r\n$1\r\n2\r\n\
                  *4\r\n$16\r\n00000000000000ff\r\n$2\r\nOK\r\n$1\r\n-\r\n$1\r\n3\r\n";
-    let script = |word: &str, before: usize| match (word, before) {
+    let script = |name: &str, before: usize| match (name, before) {
         ("invoke", 0) => HostAction::Bytes(more),
-        _ => answer_ok(word, before),
+        _ => answer_ok(name, before),
     };
     let (host, directory) = (start_host(script), Directory::new(1));
     let gateway = Gateway::new(&[("s-1", &host)], &directory, "load");
@@ -120,8 +120,8 @@
     gateway.wait_for_log("list serial=5");
     let before = invoke_count(&host_2);
     serve(1);
-    assert_eq!(invoke_count(&host_2), before, "it drains");
-    // An older list changes nothing.
+    assert_eq!(invoke_count(&host_2), before, "sent to a draining host");
+    // An older list is ignored.
     directory.set_hosts(4, &[("s-1", host_1.address, 1), ("s-2", host_2.address, 0)]);
     std::fs::write(
         gateway.folder.path().join("config.json"),
@@ -134,7 +134,7 @@
     let before = invoke_count(&host_1);
     serve(2);
     assert_eq!((invoke_count(&host_1), invoke_count(&host_2) > 0), (before, true));
-    // A file that can't be read leaves all as it was.
+    // An unreadable file changes nothing.
     std::fs::write(gateway.folder.path().join("config.json"), "{").unwrap();
     gateway.signal("-HUP");
     gateway.wait_for_log("the configuration stays as it was");
@@ -143,12 +143,12 @@
 
 #[test]
 fn term_is_announced_and_requests_shortly_after_it_are_still_served() {
-    let slow = |word: &str, before: usize| match (word, before) {
+    let slow = |name: &str, before: usize| match (name, before) {
         ("invoke", 0) => {
             std::thread::sleep(Duration::from_millis(900));
-            answer_ok(word, before)
+            answer_ok(name, before)
         }
-        _ => answer_ok(word, before),
+        _ => answer_ok(name, before),
     };
     let (host, directory) = (start_host(slow), Directory::new(1));
     let mut gateway = Gateway::new(&[("s-1", &host)], &directory, "load");
@@ -167,29 +167,29 @@
 
 #[test]
 fn a_prewarm_order_whose_connection_closes_is_sent_again_and_the_request_is_served() {
-    let script = |word: &str, before: usize| match (word, before) {
+    let script = |name: &str, before: usize| match (name, before) {
         ("prewarm", 0) => HostAction::Close,
-        _ => answer_ok(word, before),
+        _ => answer_ok(name, before),
     };
     let (host, directory) = (start_host(script), Directory::new(1));
     let gateway = Gateway::new(&[("s-1", &host)], &directory, "miss");
     let mut client = gateway.connect();
     client.send_request("post", "3000", 1);
     assert_eq!(client.next_answer(), (1, 0));
-    let mut words: HashMap<String, usize> = HashMap::new();
+    let mut counts: HashMap<String, usize> = HashMap::new();
     for line in host.commands.lock().unwrap().iter() {
-        *words.entry(line.split(' ').next().unwrap().to_owned()).or_insert(0) += 1;
+        *counts.entry(line.split(' ').next().unwrap().to_owned()).or_insert(0) += 1;
     }
-    assert_eq!((words["prewarm"], words["invoke"]), (2, 1), "{words:?}");
+    assert_eq!((counts["prewarm"], counts["invoke"]), (2, 1), "{counts:?}");
 }
 
 #[test]
 fn a_host_that_refuses_connections_is_skipped_and_every_request_is_served() {
     let host = start_host(answer_ok);
     let gone = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let dead = Host { address: gone, commands: Arc::default() };
+    let down = Host { address: gone, commands: Arc::default() };
     let directory = Directory::new(1);
-    let gateway = Gateway::new(&[("s-1", &host), ("s-2", &dead)], &directory, "load");
+    let gateway = Gateway::new(&[("s-1", &host), ("s-2", &down)], &directory, "load");
     let mut client = gateway.connect();
     for n in 0..20 {
         let stream = client.send_request("post", "3000", n);
@@ -203,9 +203,9 @@
     let hosts: Vec<Host> = (0..2)
         .map(|_| {
             let silent = silent_once.clone();
-            start_host(move |word, before| match word {
+            start_host(move |name, before| match name {
                 "invoke" if silent.swap(false, Ordering::SeqCst) => HostAction::Nothing,
-                _ => answer_ok(word, before),
+                _ => answer_ok(name, before),
             })
         })
         .collect();
@@ -213,8 +213,8 @@
     let mut client = gateway.connect();
     client.send_request_with_id(1, "00000000000000aa", "check", "5000");
     assert_eq!(client.next_answer(), (1, 0), "{}", std::fs::read_to_string(gateway.log_path()).unwrap());
-    let line = |word: &str| format!("{word} 00000000000000aa");
-    // The silent host reads on a connection and thread of its own, maybe after the client has its answer.
+    let line = |name: &str| format!("{name} 00000000000000aa");
+    // The silent host reads on its own connection and thread, possibly after the client has its answer.
     let is_aborted = || hosts.iter().any(|host| host.commands.lock().unwrap().contains(&line("abort")));
     let end = Instant::now() + peers::TEST_TIMEOUT;
     while !is_aborted() && Instant::now() < end {
@@ -228,19 +228,20 @@
 
 #[test]
 fn many_silent_and_non_reading_clients_do_not_affect_others() {
-    let script = |word: &str, before: usize| match word {
+    let script = |name: &str, before: usize| match name {
         "invoke" if before < 2 => {
             std::thread::sleep(Duration::from_millis(1_500));
-            answer_ok(word, before)
+            answer_ok(name, before)
         }
-        _ => answer_ok(word, before),
+        _ => answer_ok(name, before),
     };
     let (host, directory) = (start_host(script), Directory::new(1));
     let gateway = Gateway::new(&[("s-1", &host)], &directory, "load");
     let mut open = gateway.connect();
     open.send_request("post", "4000", 1);
     gateway.wait_for_log("run id=");
-    // 256 descriptors leave 116 places for clients; three times as many come, some send without reading.
+    // 256 descriptors leave 116 client connections; three times as many connect, and some send without
+    // reading.
     let idle_connections: Vec<TcpStream> =
         (0..350).map(|_| TcpStream::connect(gateway.address).unwrap()).collect();
     let mut ready = Vec::new();
@@ -250,11 +251,11 @@
     }
     let mut late = gateway.connect();
     late.send_request("post", "4000", 2);
-    assert_eq!(late.next_answer(), (1, 0), "a new client finds a place");
+    assert_eq!(late.next_answer(), (1, 0), "a new client is accepted");
     assert_eq!(open.next_answer(), (1, 0), "an open request keeps its connection");
 }
 
-/// What the system tells of a running process.
+/// Reads the `/proc` files of a running process.
 struct ProcessInspector {
     folder: PathBuf,
 }
@@ -264,34 +265,34 @@
         std::fs::read_to_string(self.folder.join(name)).unwrap_or_else(|error| panic!("{name}: {error}"))
     }
 
-    /// A figure of its status file.
+    /// A number from the `status` file.
     fn status(&self, name: &str) -> u64 {
         let status = self.file("status");
         let line = status.lines().find(|line| line.starts_with(name)).expect(name);
         line.split_whitespace().nth(1).and_then(|figure| figure.parse().ok()).expect(name)
     }
 
-    /// What its descriptors are open on; one that closes meanwhile is left out.
+    /// The targets of the open descriptors; one that closes meanwhile is left out.
     fn descriptors(&self) -> Vec<String> {
         let folder = std::fs::read_dir(self.folder.join("fd")).unwrap();
         let open = folder.filter_map(|entry| std::fs::read_link(entry.unwrap().path()).ok());
         open.map(|target| target.to_string_lossy().into_owned()).collect()
     }
 
-    /// Holds the process against what the platform allows; gives the number of its sockets.
+    /// Checks the process against what the platform allows; returns the number of its sockets.
     fn check(&self, when: &str) -> usize {
         let exe = std::fs::read_link(self.folder.join("exe")).unwrap();
         let same = std::fs::canonicalize(env!("CARGO_BIN_EXE_cresswheel")).unwrap();
-        assert_eq!(exe, same, "{when}: `run` ends in the program itself, not in a shell round it");
+        assert_eq!(exe, same, "{when}: `run` must exec the program instead of leaving a shell around it");
         let children = std::fs::read_dir(self.folder.join("task"))
             .unwrap()
             .map(|task| std::fs::read_to_string(task.unwrap().path().join("children")).unwrap_or_default());
         let children: String = children.collect();
-        assert_eq!(children.trim(), "", "{when}: it starts no further process");
-        assert_eq!(self.status("Threads:"), 1, "{when}: one loop, no further thread");
+        assert_eq!(children.trim(), "", "{when}: it started another process");
+        assert_eq!(self.status("Threads:"), 1, "{when}: it started another thread");
         assert!(
             self.file("maps").contains("libc.so"),
-            "{when}: it is linked dynamically against the C library"
+            "{when}: not linked dynamically against the C library"
         );
         let ipv4: Vec<String> = ["net/tcp", "net/udp"]
             .iter()
@@ -304,7 +305,7 @@
         let open = self.descriptors();
         let sockets: Vec<_> = open.iter().filter(|target| target.starts_with("socket:")).collect();
         for socket in &sockets {
-            // One that was closed or opened between the two looks is in the one and not in the other.
+            // A socket that was closed or opened between the two reads appears in only one of them.
             let stays = || self.descriptors().contains(*socket);
             assert!(ipv4.contains(*socket) || !stays(), "{when}: {socket} is neither TCP nor UDP over IPv4");
         }
@@ -314,7 +315,7 @@
     }
 }
 
-/// `run` of the deploy file, as the platform starts it, under load, HUP and TERM.
+/// Runs `run` of the deploy file as the platform does, with load, HUP and TERM.
 #[test]
 fn as_deployed_it_is_one_process_within_its_limits_that_uses_only_ipv4() {
     let deploy = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/balancer.toml");
@@ -336,8 +337,8 @@
             assert_eq!(client.next_answer().1, 0);
         }
     }
-    assert!(process.check("under load") >= quiet + 40, "the look sees its sockets");
-    // Only the directory named after HUP tells of this list, so that it was taken shows that HUP was.
+    assert!(process.check("under load") >= quiet + 40, "the sockets of the clients were not counted");
+    // Only the directory configured by the reload has this list, so its use shows that HUP was handled.
     let new_directory = Directory::new(1);
     new_directory.set_hosts(5, &[("s-1", host.address, 0)]);
     std::fs::write(
--- a/crates/cli/tests/restarts.rs
+++ b/crates/cli/tests/restarts.rs
@@ -1,7 +1,8 @@
-//! Many gateways of one fleet killed at the same moment and started again under load, with a directory that is late.
+//! Many gateways of one fleet are killed at the same moment and started again under load, while the directory
+//! is late.
 //!
-//! Readiness is judged by order, never by a clock: the directory is withheld, and a gateway that knows hosts from its
-//! configuration has to be ready without it. The times that the restarts took are printed (`--nocapture`).
+//! Readiness is checked by order, not by a clock: the directory doesn't answer, and a gateway that knows
+//! hosts from its configuration has to be ready without it. The restart times are printed (`--nocapture`).
 
 mod peers;
 
@@ -14,12 +15,12 @@
 use cresswheel_platform_wire::client::{FromGateway, encode_bare};
 use peers::{Client, Directory, Gateway, Host, answer_ok, config, start_host};
 
-/// How long a client of the background load waits before it connects again.
+/// Pause of a background client before it reconnects.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(5);
-/// Stream of the question whether a gateway is ready.
+/// Stream of the readiness query.
 const READY_STREAM: u32 = 9;
 
-/// Clients that keep asking, one for each gateway, and connect again whenever their connection ends.
+/// One client per gateway that sends requests continuously and reconnects whenever its connection is closed.
 struct BackgroundLoad {
     stop: Arc<AtomicBool>,
     served: Arc<AtomicU64>,
@@ -42,7 +43,7 @@
         self.served.load(Ordering::SeqCst)
     }
 
-    /// Waits until so many more requests were served.
+    /// Waits until this many more requests were served.
     fn wait_until_served(&self, more: u64) {
         let (from, end) = (self.served(), Instant::now() + peers::TEST_TIMEOUT);
         while self.served() < from + more {
@@ -79,19 +80,19 @@
     }
 }
 
-/// Waits until a gateway says that it is ready; gives the time since `started`.
+/// Waits until a gateway reports that it is ready; returns the time since `started`.
 fn wait_until_ready(gateway: &Gateway, started: Instant) -> Duration {
     let mut client = gateway.connect();
     loop {
-        let mut question = Vec::new();
-        encode_bare(&mut question, true, READY_STREAM);
-        client.send_bytes(&question);
+        let mut query = Vec::new();
+        encode_bare(&mut query, true, READY_STREAM);
+        client.send_bytes(&query);
         match client.next_frame() {
             Some(FromGateway::Ready(READY_STREAM, 0)) => return started.elapsed(),
             Some(FromGateway::Ready(..)) => std::thread::sleep(RECONNECT_PAUSE),
-            other => panic!("no word about being ready: {other:?}"),
+            other => panic!("not an answer about readiness: {other:?}"),
         }
-        assert!(started.elapsed() < peers::TEST_TIMEOUT, "it never was ready");
+        assert!(started.elapsed() < peers::TEST_TIMEOUT, "the gateway did not become ready");
     }
 }
 
@@ -106,7 +107,7 @@
         gateway.signal("-KILL");
     }
     for mut gateway in gateways {
-        assert_eq!(gateway.wait_for_exit(), None, "killed, not ended by itself");
+        assert_eq!(gateway.wait_for_exit(), None, "the gateway exited before it was killed");
     }
     let start = Instant::now();
     let spawned: Vec<Gateway> =
@@ -114,7 +115,7 @@
     (spawned.into_iter().map(Gateway::wait_until_listening).collect(), start)
 }
 
-/// Asks each gateway at the same time when it is ready; gives their times in order.
+/// Waits for all gateways in parallel until they are ready; returns their times, sorted.
 fn times_to_ready(gateways: &[Gateway], start: Instant) -> Vec<Duration> {
     let times = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
@@ -133,7 +134,7 @@
 fn print(what: &str, times: &[Duration]) {
     let p90 = times[times.len() * 9 / 10];
     let last = times[times.len() - 1];
-    println!("{} gateways {what}: nine in ten ready after {p90:?}, the last after {last:?}", times.len());
+    println!("{} gateways {what}: 90% ready after {p90:?}, the last after {last:?}", times.len());
 }
 
 fn fleet(count: usize, host: &Host, directory: &Directory) -> (Vec<Gateway>, String) {
@@ -150,7 +151,7 @@
     print("with known hosts", &times_to_ready(&gateways, start));
     load.wait_until_served(10 * count as u64);
     load.stop();
-    assert!(directory.list.lock().unwrap().1.is_empty(), "the directory has told of no host all the while");
+    assert!(directory.list.lock().unwrap().1.is_empty(), "the directory must not have listed a host");
 }
 
 fn without_known_hosts_they_are_ready_once_the_directory_answers(count: usize) {
@@ -161,9 +162,9 @@
     let (gateways, _) = kill_and_start(gateways, &config(&[], directory.address, "load"));
     for gateway in &gateways {
         let mut client = gateway.connect();
-        let mut question = Vec::new();
-        encode_bare(&mut question, true, READY_STREAM);
-        client.send_bytes(&question);
+        let mut query = Vec::new();
+        encode_bare(&mut query, true, READY_STREAM);
+        client.send_bytes(&query);
         let answer = client.next_frame();
         assert!(matches!(answer, Some(FromGateway::Ready(READY_STREAM, code)) if code != 0), "{answer:?}");
     }
--- a/crates/cli/tests/soak.rs
+++ b/crates/cli/tests/soak.rs
@@ -1,4 +1,4 @@
-//! A short soak of real processes; docs/SOAK.md tells of long ones.
+//! A short soak of real processes; docs/SOAK.md describes long ones.
 
 use std::process::Command;
 
@@ -8,7 +8,7 @@
     (done.status.success(), String::from_utf8_lossy(&[done.stdout, done.stderr].concat()).into_owned())
 }
 
-/// Two of these six have a crowd.
+/// Two of these six seeds have a load generator.
 const SEEDS: [u64; 6] = [1, 2, 3, 4, 5, 6];
 const AT_A_TIME: usize = 3;
 
@@ -22,18 +22,18 @@
             })
         });
         for run in runs.collect::<Vec<_>>() {
-            let (held, said) = run.join().unwrap();
-            assert!(held, "{said}");
+            let (passed, output) = run.join().unwrap();
+            assert!(passed, "{output}");
             let requests =
-                said.split("; ").nth(1).and_then(|part| part.split(' ').next()?.parse::<u32>().ok());
-            assert!(requests.is_some_and(|requests| requests > 200), "it was asked little: {said}");
+                output.split("; ").nth(1).and_then(|part| part.split(' ').next()?.parse::<u32>().ok());
+            assert!(requests.is_some_and(|requests| requests > 200), "too few requests were sent: {output}");
         }
     }
 }
 
 #[test]
 fn a_program_that_is_not_a_gateway_fails_the_soak() {
-    let (held, said) =
+    let (passed, output) =
         soak(&["--gateways", "1", "--hosts", "2", "--seconds", "2", "--program", "/bin/false"]);
-    assert!(!held && said.contains("ended by itself"), "{said}");
+    assert!(!passed && output.contains("ended by itself"), "{output}");
 }
