--- a/crates/platform/src/front.rs
+++ b/crates/platform/src/front.rs
@@ -1,4 +1,4 @@
-//! Clients' connections: what is asked on each, which streams are owed an answer.
+//! Client connections: the requests on each, and the streams that still need an answer.
 
 use std::collections::VecDeque;
 use std::net::Ipv4Addr;
@@ -11,43 +11,44 @@
 
 use crate::settings::PER_CONNECTION;
 
-/// Bytes waiting for a client from which on it is held not to read: what it asks is turned away. It is read on, as it
-/// may take back what it asked before.
+/// A client with a larger output backlog counts as not reading, and its new requests are rejected. Its input
+/// is still read, as it may hold cancellations.
 const BACKLOG: usize = 64 << 10;
-/// A connection that sent so many requests that can't be used is closed.
+/// A connection is closed after this many unusable requests.
 const UNUSABLE: u32 = 8;
-/// So is one that asked so often without reading.
+/// A connection is closed after this many requests without reading its answers.
 const UNREAD: u32 = 1_000;
 
-/// What clients ask.
+/// What clients did.
 #[derive(Debug)]
 pub enum Ask {
-    /// A request, on a connection and stream, and the earliest time at which it can have come.
+    /// A request with its connection and stream, and the earliest time at which it can have arrived.
     Request(Connection, u32, Micros, Request),
-    /// Nobody waits for this stream any more.
+    /// The client canceled the request on this stream.
     TakenBack(Connection, u32),
-    /// The client is gone.
+    /// The client disconnected.
     Left(Connection),
 }
 
 struct Guest {
     decoder: ClientDecoder,
-    /// Streams that are owed an answer, and the ids asked for on them.
+    /// Streams with an unanswered request, and its id.
     streams: HashMap<u32, String>,
     unusable: u32,
-    /// It does not read: what waited for it when that was looked at last, and how often it asked since.
+    /// Set while the client doesn't read: the backlog at the last check and the requests since.
     stalled: Option<(usize, u32)>,
-    /// What it sent was no frame, or the like: it is told, hears what it is owed, and is closed.
+    /// A protocol error: the client gets an error frame and its pending answers, then the connection is
+    /// closed.
     ending: bool,
-    /// The time of a message that is not whole was up as more of it came; it had its time once more.
+    /// An incomplete message timed out as more of it arrived; its timeout was restarted once.
     overdue: bool,
 }
 
-/// All clients.
+/// All client connections.
 pub struct Front {
     door: Door,
     places: usize,
-    /// Clients that read slowly are waited for while no more than this waits for all of them.
+    /// Slow readers are tolerated while their total backlog stays below this many bytes.
     most_unread: usize,
     guests: HashMap<Connection, Guest>,
     by_slot: HashMap<usize, Connection>,
@@ -56,13 +57,13 @@
     asks: VecDeque<Ask>,
     leaving: bool,
     listening: bool,
-    /// Requests turned away here, by reason.
+    /// Requests rejected here, by reason.
     pub turned_away: HashMap<&'static str, u64>,
-    /// Connections that were closed here though an answer was owed on them. Anything but 0 is a fault.
+    /// Connections closed here with an unanswered request. Must stay 0.
     pub closed_owed: u64,
 }
 
-/// Why a client that asks on and on without reading is closed.
+/// Close reason of a client that keeps sending requests without reading.
 const UNREAD_FOR_LONG: &str = "asks and does not read";
 
 impl Front {
@@ -90,7 +91,7 @@
         self.door.counts()
     }
 
-    /// Tells all clients to send nothing new here. What comes all the same is taken as before.
+    /// Asks all clients to send no new requests here. Requests that arrive anyway are accepted as before.
     pub fn leave(&mut self, hub: &mut Hub) {
         self.leaving = true;
         for connection in self.guests.keys().copied() {
@@ -98,14 +99,14 @@
         }
     }
 
-    /// Takes no more connections after those that wait to be accepted.
+    /// Accepts the connections in the listen queue, then stops listening.
     pub fn shut(&mut self, hub: &mut Hub) {
         hub.accept_waiting();
         hub.stop_listening();
         self.leave(hub);
     }
 
-    /// A notice of a guest's connection; others are given back.
+    /// Handles notices of client connections; returns all others.
     pub fn notice(&mut self, hub: &mut Hub, is_ready: bool, notice: Notice) -> Option<Notice> {
         let now = hub.clock().now();
         match notice {
@@ -118,7 +119,7 @@
                 self.guests.entry(connection).and_modify(|guest| guest.stalled = None);
             }
             Notice::Closed { connection, guest: true, .. } => {
-                // One that was turned away at the door is closed as well, and was never here.
+                // A connection rejected by admission control is closed too, and was never registered.
                 if let Some(guest) = self.guests.remove(&connection) {
                     self.door.left(slot(connection));
                     self.by_slot.remove(&slot(connection));
@@ -132,11 +133,11 @@
     }
 
     fn opened(&mut self, hub: &mut Hub, connection: Connection) {
-        // It is gone already; what it asked, if anything, comes before its end.
+        // It is closed already; anything it sent is processed before its end.
         if hub.peer(connection).is_none() {
             return hub.close(connection, "gone at the door");
         }
-        // All clients come through the platform's front layer: their addresses tell nothing of who they are.
+        // Clients connect through the platform's proxy layer, so their addresses don't identify them.
         let address = Ipv4Addr::UNSPECIFIED.into();
         let (now, by_slot) = (hub.clock().now(), &self.by_slot);
         let quiet = |slot| by_slot.get(&slot).is_none_or(|other| hub.is_quiet(*other));
@@ -244,15 +245,15 @@
         }
     }
 
-    /// A request that was never taken: nothing ran.
+    /// Rejects a request that was never accepted: nothing ran.
     fn turn_away(&mut self, hub: &mut Hub, connection: Connection, stream: u32, why: &'static str) {
         *self.turned_away.entry(why).or_insert(0) += 1;
         hub.write(connection, None, |out| client::answer(out, stream, Code::Refused, None, &[]));
         self.watch_backlog(hub, connection);
     }
 
-    /// Tells the client what was wrong. What it is owed it still gets. Nothing more that comes is looked at, but it is
-    /// read, so that its end is seen.
+    /// Reports a protocol error. Pending answers are still sent. Further input is read, to see the end of the
+    /// connection, but ignored.
     fn end(&mut self, hub: &mut Hub, connection: Connection, why: &str) {
         let Some(guest) = self.guests.get_mut(&connection).filter(|guest| !guest.ending) else { return };
         tracing::debug!(connection, why, "a client's connection ends");
@@ -263,7 +264,7 @@
         }
     }
 
-    /// A stream is owed nothing any more.
+    /// Marks a stream as answered.
     fn settle(&mut self, hub: &mut Hub, connection: Connection, stream: u32) -> bool {
         let Some(guest) = self.guests.get_mut(&connection) else { return false };
         let Some(id) = guest.streams.remove(&stream) else { return false };
@@ -272,7 +273,7 @@
         true
     }
 
-    /// The one final answer of a request.
+    /// Sends the final answer of a request.
     pub fn answer(
         &mut self,
         hub: &mut Hub,
@@ -293,8 +294,8 @@
         self.watch_backlog(hub, connection);
     }
 
-    /// Closes a client's connection. One that is owed an answer is closed for not reading alone; any other such end is
-    /// a fault of this program, and is counted.
+    /// Closes a client connection. With unanswered requests, only a client that doesn't read may be closed;
+    /// any other such close is a bug, and is counted.
     fn close(&mut self, hub: &mut Hub, connection: Connection, why: &'static str) {
         tracing::debug!(connection, why, "closed");
         let owed = self
@@ -322,14 +323,14 @@
         self.door.sign(hub.clock().now(), slot(connection), Sign::Stalled);
     }
 
-    /// The time of a connection is up, for that reason. What came in this very moment is seen to first.
+    /// Handles a timeout of a connection. Input that arrived by now is processed first.
     fn time_is_up(&mut self, hub: &mut Hub, connection: Connection, why: &'static str) {
         let (now, slot) = (hub.clock().now(), slot(connection));
         let unread: usize = self.stalled().map(|(connection, _)| hub.backlog(connection)).sum();
         let Some(guest) = self.guests.get_mut(&connection) else { return };
         let backlog = hub.backlog(connection);
         match (&mut guest.stalled, why) {
-            // It reads, if slowly, or something is open there, which has a time of its own: its time begins anew.
+            // It reads slowly, or has open requests, which have their own timeouts: restart the timeout.
             (Some((before, _)), _)
                 if (backlog < *before || !guest.streams.is_empty()) && unread <= self.most_unread =>
             {
@@ -342,7 +343,7 @@
                 guest.overdue = true;
                 self.door.sign(now, slot, Sign::Heard(guest.decoder.midway()));
             }
-            // What is open is still answered.
+            // Open requests are still answered.
             (None, "half-sent" | "half-bytes" | "half-many") if !guest.streams.is_empty() => {
                 self.door.sign(now, slot, Sign::Heard(0));
                 self.end(hub, connection, why);
@@ -362,8 +363,8 @@
         all.filter(|(_, guest)| guest.stalled.is_some())
     }
 
-    /// Ends all connections on which nothing is out any more, each once what came on it is seen to and what waits for
-    /// it is written. True: none is left.
+    /// Closes all connections without pending work, each once its input is processed and its output is
+    /// written. True when none is left.
     pub fn finish_all(&mut self, hub: &mut Hub) -> bool {
         for (connection, guest) in &mut self.guests {
             if !guest.ending && hub.backlog(*connection) == 0 && hub.is_quiet(*connection) {
@@ -374,7 +375,7 @@
         self.guests.is_empty()
     }
 
-    /// Does what is due at the door, and opens or closes it.
+    /// Applies due admission timeouts, and pauses or resumes accepting.
     pub fn tick(&mut self, hub: &mut Hub) {
         let now = hub.clock().now();
         while let Some(act) = self.door.act(now) {
@@ -393,7 +394,7 @@
         }
     }
 
-    /// When [`Front::tick`] is wanted next, at the latest.
+    /// Latest time for the next [`Front::tick`].
     pub fn next_due(&self, now: Micros) -> Option<Micros> {
         self.door.next_due(now).into_iter().chain(self.door.may_accept(now).err()).min()
     }
--- a/crates/platform/src/hosts.rs
+++ b/crates/platform/src/hosts.rs
@@ -1,8 +1,8 @@
 //! Connections to hosts: commands out, answers in.
 //!
-//! A host's answer names the request's id, which stays the same over all its attempts, and a second copy of an answer
-//! may come late. So a connection that carried an id gets no further attempt under it for a while: a late copy of
-//! 'busy' would be taken for the word on an attempt that runs.
+//! An answer carries the request id, which is the same for all attempts of a request, and a duplicate answer
+//! may arrive late. So a connection that carried an id gets no further attempt with this id for a while: a
+//! late duplicate of 'busy' would be taken for the answer to a running attempt.
 
 use std::net::SocketAddr;
 
@@ -14,31 +14,31 @@
 use cresswheel_transport::{Connection, ENDED, Hub, Sent};
 use foldhash::{HashMap, HashMapExt};
 
-/// What an id or tag on a connection stands for.
+/// What an id or tag on a connection refers to.
 #[derive(Clone, Copy, Debug)]
 enum Name {
     Attempt(Sending),
     Order(u64),
-    /// Whether the host serves, asked at that time.
+    /// A health probe sent at this time.
     Probe(Micros),
-    /// It was answered or given up; nobody waits for it, but an answer may be on its way until then.
+    /// Answered or canceled; until this time, an answer to it may still arrive and is ignored.
     Over(Micros),
 }
 
-/// An attempt on its connection.
+/// An attempt sent on a connection.
 #[derive(Clone, Copy, Debug)]
 struct Sending {
     number: u64,
     sent: Micros,
-    /// How long its connection is barred to others under its id once it is over.
+    /// How long after its end no other attempt with the same id may use the connection.
     late: Micros,
     is_repeatable: bool,
 }
 
-/// Why a connection was closed under an attempt of which the host has a part and gets no more.
+/// Close reason when the host has only part of an attempt and must not get the rest.
 const CUT_SHORT: &str = "cut short";
 
-/// One connection.
+/// A connection to a host.
 struct Line {
     decoder: HostDecoder,
     names: HashMap<String, Name>,
@@ -52,58 +52,58 @@
     }
 }
 
-/// A listed host.
+/// The endpoint of a listed host.
 #[derive(Clone, Copy, Debug)]
 struct Place {
     address: SocketAddr,
     started: Micros,
 }
 
-/// How much later than the first a second copy of an answer is reckoned with.
+/// How long after an answer a duplicate of it may still arrive.
 #[derive(Clone, Copy, Debug)]
 pub struct Late {
-    /// Of calls that must not run twice: as long as any of them goes on.
+    /// For calls that must not run twice: as long as any of them may last.
     pub unsafe_calls: Micros,
-    /// Of others: a copy that is taken for another answer costs an attempt, and another connection costs as well.
+    /// For other calls: mistaking a duplicate costs an attempt, avoiding it costs another connection.
     pub others: Micros,
 }
 
-/// An order to load.
+/// A prewarm order.
 #[derive(Clone, Debug)]
 pub struct Order {
     pub worker: WorkerId,
-    /// Names the order; never used twice, nor for an attempt.
+    /// Unique across orders and attempts.
     pub number: u64,
     pub function: FunctionId,
-    /// Instances wanted.
+    /// Target number of instances.
     pub count: u32,
 }
 
-/// A host is asked again whether it serves after this at the earliest.
+/// Minimum interval between requested probes of a host.
 const ASK_AGAIN: Micros = 250_000;
 
-/// What was counted since the start.
+/// Counters since the start.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct HostCounts {
-    /// Connections ended for an answer that could not be read.
+    /// Connections closed because of a malformed answer.
     pub spoilt: u64,
-    /// Answers to nothing: a second copy, one under an unknown id, one to what was given up.
+    /// Unexpected answers: duplicates, unknown ids, or answers to canceled requests.
     pub unasked: u64,
 }
 
-/// All hosts.
+/// Connections to all hosts.
 pub struct Hosts {
     carriers: Carriers,
     limits: CarrierLimits,
-    /// Connections to all hosts together.
+    /// Connection limit over all hosts.
     most: usize,
     late: Late,
     lines: HashMap<Connection, Line>,
     places: HashMap<WorkerId, Place>,
-    /// The connection and the id or tag of each attempt and order that is out.
+    /// Connection and id or tag of each attempt and order in flight.
     out: HashMap<u64, (Connection, String)>,
     next_probe: u64,
-    /// When hosts were asked last whether they serve.
+    /// When a probe of each host was last requested.
     asked: HashMap<WorkerId, Micros>,
     pub counts: HostCounts,
 }
@@ -128,7 +128,8 @@
         self.carriers.connections()
     }
 
-    /// Takes the whole list over. What had not left for hosts that drain or are gone is taken back.
+    /// Applies a complete host list. Returns the ends of unsent attempts and orders to hosts that drain or
+    /// were removed.
     pub fn take_list(&mut self, hub: &mut Hub, listed: &[Listed]) -> Vec<Input> {
         let mut ended = Vec::new();
         let named = |id: &WorkerId| listed.iter().any(|host| *host.id == *id.0);
@@ -169,7 +170,7 @@
         ended
     }
 
-    /// Another process stands there now: what was opened before it began ends, though nothing may say so.
+    /// The host restarted: connections opened before that are closed, as nothing else may report their end.
     fn close_older(&mut self, hub: &mut Hub, id: &WorkerId, started: Micros) {
         let older = |connection: &Connection, line: &Line| {
             line.opened < started && self.carriers.worker(*connection).as_ref() == Some(id)
@@ -189,7 +190,8 @@
         let place = self.places.get(worker)?;
         let mut limits = self.limits;
         if self.carriers.connections() >= self.most {
-            // Those that stand are shared; a host without one has to wait for a place.
+            // At the limit, open connections are shared; a host without one has to wait for a free
+            // connection.
             limits.connections = 0;
         }
         let (now, lines) = (hub.clock().now(), &self.lines);
@@ -202,7 +204,7 @@
         Some(connection)
     }
 
-    /// Carries an attempt to its host; gives back how it ended if it can't.
+    /// Sends an attempt to its host; returns how it ended if it can't be sent.
     pub fn run(&mut self, hub: &mut Hub, attempt: &Attempt) -> Option<Input> {
         let call = &attempt.call;
         let patience = (attempt.timeout.min(attempt.time_left) / 1_000).max(1);
@@ -220,7 +222,7 @@
                 self.out.insert(attempt.number, (connection, call.trace.clone()));
                 None
             }
-            // A listed host, but no place for it among our own connections: that is not the host's failure.
+            // The host is listed, but the local connection limit is reached: not a failure of the host.
             None if self.places.contains_key(&attempt.worker) => {
                 Some(ended(attempt.number, AttemptEnd::TakenBack))
             }
@@ -228,7 +230,7 @@
         }
     }
 
-    /// Carries an order; gives back how it ended if it can't.
+    /// Sends a prewarm order; returns how it ended if it can't be sent.
     pub fn hold(&mut self, hub: &mut Hub, order: &Order) -> Option<Input> {
         let tag = format!("o{}", order.number);
         let named = (Cargo::Order(order.number), Name::Order(order.number));
@@ -242,12 +244,12 @@
         }
     }
 
-    /// Whether an attempt or order waits on a connection, without a byte of it having left.
+    /// Whether an attempt or order is queued on a connection with no byte sent.
     pub fn is_waiting(&self, hub: &Hub, number: u64) -> bool {
         self.carriers.is_waiting(hub, number)
     }
 
-    /// Whether a byte of an attempt or order has left on a connection that still is there.
+    /// Whether a byte of an attempt or order was sent on a connection that is still open.
     pub fn has_left(&self, hub: &Hub, number: u64) -> bool {
         let connection = self.out.get(&number).map(|(connection, _)| *connection);
         connection.is_some_and(|connection| {
@@ -255,7 +257,7 @@
         })
     }
 
-    /// Takes an attempt or order off its connection; false: a byte of it has left, or it is on none.
+    /// Removes an attempt or order from its connection's queue; false if a byte was sent or it isn't queued.
     pub fn take_off(&mut self, hub: &mut Hub, number: u64) -> bool {
         let taken = self.carriers.withdraw(hub, number);
         if taken {
@@ -264,7 +266,7 @@
         taken
     }
 
-    /// Asks a host whether it serves, on a connection that stands or on a new one.
+    /// Probes a host on an open connection, or opens one.
     pub fn ask(&mut self, hub: &mut Hub, now: Micros, worker: &WorkerId) {
         let Some(place) = self.places.get(worker).copied() else { return };
         let last = self.asked.get(worker).copied();
@@ -284,12 +286,12 @@
         }
     }
 
-    /// Has idle instances unloaded, if a connection stands.
+    /// Sends an order to unload idle instances, if the host is connected.
     pub fn unload(&mut self, hub: &mut Hub, worker: &WorkerId, function: &FunctionId) {
         self.carriers.tell(hub, worker, |out| host::evict(out, &function.0));
     }
 
-    /// Probes a host, if a connection stands; true: one does.
+    /// Probes a host that is connected; false if it isn't.
     pub fn probe(&mut self, hub: &mut Hub, worker: &WorkerId) -> bool {
         self.next_probe += 1;
         let tag = format!("p{}", self.next_probe);
@@ -300,7 +302,7 @@
         true
     }
 
-    /// Takes an attempt back if its host does not have all of it; true: that was so, and it never gets it.
+    /// Cancels an attempt if its host doesn't have all of it; true if so: the host never gets the rest.
     pub fn withdraw(&mut self, hub: &mut Hub, attempt: u64) -> bool {
         if self.carriers.withdraw(hub, attempt) {
             self.forget(attempt);
@@ -309,8 +311,8 @@
         self.cut_short(hub, attempt)
     }
 
-    /// A part of the attempt has left, and the rest would follow whenever the host reads on: closes the connection,
-    /// unless that would break an attempt that its host has and that must not run twice.
+    /// Part of the attempt was sent, and the rest would follow when the host reads on: closes the connection,
+    /// unless that would break a fully sent attempt that must not run twice.
     fn cut_short(&mut self, hub: &mut Hub, attempt: u64) -> bool {
         let Some((connection, _)) = self.out.get(&attempt) else { return false };
         let connection = *connection;
@@ -336,7 +338,7 @@
         true
     }
 
-    /// Takes back all for a host of which no byte has left, and tells how it ended.
+    /// Cancels everything unsent for a host and returns the ends.
     fn withdraw_all(&mut self, hub: &mut Hub, worker: &WorkerId) -> Vec<Input> {
         let ended = self.carriers.withdraw_all(hub, worker);
         for input in &ended {
@@ -347,14 +349,14 @@
         ended
     }
 
-    /// Its host does not have this attempt or order, so no answer to it can come.
+    /// Drops an attempt or order that its host doesn't have, so that no answer can come.
     fn forget(&mut self, number: u64) {
         if let Some((connection, id)) = self.out.remove(&number) {
             self.lines.get_mut(&connection).into_iter().for_each(|line| _ = line.names.remove(&id));
         }
     }
 
-    /// Takes an attempt back, or has its host give it up.
+    /// Cancels an attempt, locally if possible, else with an abort command.
     pub fn give_up(&mut self, hub: &mut Hub, attempt: u64) {
         if self.withdraw(hub, attempt) {
             return;
@@ -366,7 +368,8 @@
         if let Some(Name::Attempt(sending)) = line.names.get(&id).copied() {
             line.names.insert(id, Name::Over(hub.clock().now() + sending.late));
             if line.heard <= sending.sent {
-                // Nothing at all came since: the host may be gone without a word, and the connection with it.
+                // Nothing was received since it was sent: the host may have gone silently, so the connection
+                // isn't reused.
                 self.carriers.leaving(connection);
             }
         }
@@ -386,7 +389,7 @@
         self.carriers.is_ours(connection)
     }
 
-    /// Bytes came from a host: what they end.
+    /// Processes bytes from a host; returns what they ended.
     pub fn bytes(&mut self, hub: &mut Hub, connection: Connection, bytes: &[u8]) -> Vec<Input> {
         let mut ended = Vec::new();
         let now = hub.clock().now();
@@ -433,7 +436,7 @@
         }
     }
 
-    /// Nothing more on this connection can be trusted; what is out on it may have run.
+    /// Closes a connection after a malformed answer; what is in flight on it may have run.
     fn spoilt(&mut self, hub: &mut Hub, connection: Connection, why: &str) {
         self.counts.spoilt += 1;
         let host = self.carriers.worker(connection);
@@ -441,9 +444,10 @@
         hub.close(connection, "a spoilt answer");
     }
 
-    /// A connection is gone. Hosts end one in good order when no request is open on it; they don't count orders,
-    /// which stand all the same. Nor does a single connection's end tell of its host while another stands; one that
-    /// never stood tells nothing if its host was heard on another meanwhile.
+    /// Returns what the end of a connection ended. Hosts close connections without open requests in good
+    /// order; they don't count orders, which remain valid. The end of one connection says nothing about its
+    /// host while another is open, and a failed connect says nothing if the host was heard on another
+    /// connection meanwhile.
     pub fn closed(
         &mut self,
         connection: Connection,
@@ -462,7 +466,7 @@
             match input {
                 Input::AttemptEnded(number, end, ..) => {
                     self.out.remove(number);
-                    // The others on a connection that was cut short may have run, but their host broke nothing.
+                    // The others on the closed connection may have run, but the host broke nothing.
                     if why == CUT_SHORT && *end == AttemptEnd::Broken {
                         *end = AttemptEnd::CutOff;
                     }
@@ -479,14 +483,14 @@
         ended
     }
 
-    /// Whether the host of a connection said something on another one since then.
+    /// Whether anything was received from the same host since then, on any connection.
     fn was_heard(&self, connection: Connection, since: Micros) -> bool {
         let host = self.carriers.worker(connection);
         let same = |other: &Connection| host.is_some() && self.carriers.worker(*other) == host;
         self.lines.iter().any(|(other, line)| line.heard > since && same(other))
     }
 
-    /// Closes what is idle, and forgets ids to which no answer can come any more.
+    /// Closes idle connections and forgets ids to which no answer can come any more.
     pub fn tidy(&mut self, hub: &mut Hub) {
         self.carriers.close_idle(hub, self.limits.idle);
         let now = hub.clock().now();
@@ -500,7 +504,7 @@
     Input::AttemptEnded(number, end, Vec::new(), None)
 }
 
-/// What a host's answer to a probe tells. One that drains answers 'down' and goes on with what it has.
+/// Interprets the answer to a probe. A draining host answers 'down' and completes what it has.
 fn probed(worker: WorkerId, word: Word, asked: Micros) -> Vec<Input> {
     let said = |serves| Input::WorkerSaid { worker: worker.clone(), serves, asked };
     match word {
@@ -510,7 +514,7 @@
     }
 }
 
-/// A host's word in the engine's terms, and the id that it was under; `None`: it is no answer to this.
+/// Converts an answer for the engine and returns it with its id; `None` if it doesn't fit the request.
 fn told(name: Name, answer: HostAnswer) -> Option<(String, Input)> {
     let input = match name {
         Name::Attempt(Sending { number, .. }) => {
--- a/crates/platform/src/hosts/tests.rs
+++ b/crates/platform/src/hosts/tests.rs
@@ -48,7 +48,7 @@
     }
 }
 
-/// So many connections to each host.
+/// A host table with this connection limit per host.
 fn hosts(connections: usize) -> Hosts {
     let (wire, connect_timeout) = (Wire::Raw, SECOND);
     let limits = CarrierLimits { wire, connections, streams: 10, spread: 1, connect_timeout, idle: SECOND };
@@ -62,7 +62,7 @@
         let mut hub = Hub::new(HubLimits::default()).unwrap();
         let mut hosts = hosts(2);
         hosts.take_list(&mut hub, &[host(&listener, Standing::In)]);
-        // The hub has not looked yet: the connection does not stand, and no byte has left.
+        // The hub hasn't polled yet: the connection isn't established and no byte was sent.
         assert!(hosts.run(&mut hub, &attempt(1, Vec::new())).is_none());
         let ended = hosts.take_list(&mut hub, &[host(&listener, after)]);
         assert!(matches!(ended[..], [Input::AttemptEnded(1, AttemptEnd::TakenBack, ..)]), "{ended:?}");
@@ -72,7 +72,7 @@
 
 #[test]
 fn others_on_a_connection_that_is_cut_short_are_not_held_against_its_host() {
-    // More than the kernel takes of a connection that is not read.
+    // More than the kernel buffers for a connection that isn't read.
     const LARGE: usize = 16 << 20;
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut hub = Hub::new(HubLimits::default()).unwrap();
@@ -102,14 +102,14 @@
             other => panic!("{other:?}"),
         })
         .collect();
-    // The first may have run, the third had not left; neither is the host's doing.
+    // The first may have run, the third was unsent; neither end is the host's fault.
     assert_eq!(ends, [(1, AttemptEnd::CutOff), (3, AttemptEnd::NotWritten)]);
     assert!(hosts.out.is_empty());
 }
 
 #[test]
 fn tags_count_only_on_the_connection_that_they_were_given_on() {
-    // Numbers of orders and probes begin anew with each process, and are the same on connections of two of them.
+    // Numbers of orders and probes restart with each process, so connections to two processes share tags.
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut hub = Hub::new(HubLimits::default()).unwrap();
     let mut hosts = hosts(2);
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,8 +1,8 @@
-//! The gateway on the operators' platform: a second shell round the same engine and decision module.
+//! The gateway on the operators' platform: a second event loop around the same engine and decision module.
 //!
-//! [`Platform`] carries clients' frames (`front`), commands to hosts (`hosts`) and the directory's answers
-//! (`directory`) between sockets and the engine, and decides nothing. `docs/PLATFORM.md` tells how it is started,
-//! what it bounds and what it says in its log.
+//! [`Platform`] moves client frames (`front`), commands to hosts (`hosts`) and directory answers
+//! (`directory`) between sockets and the engine, and makes no decisions. `docs/PLATFORM.md` describes how it
+//! is started, its limits and its log messages.
 
 mod departures;
 mod directory;
--- a/crates/platform/src/shell.rs
+++ b/crates/platform/src/shell.rs
@@ -1,4 +1,4 @@
-//! The loop of a gateway on the platform.
+//! The event loop of a gateway on the platform.
 
 use std::collections::VecDeque;
 use std::io;
@@ -22,36 +22,37 @@
 use crate::lateness::Lateness;
 use crate::waiting::Waiting;
 
-/// Reads the configuration again, for HUP.
+/// Rereads the configuration on HUP.
 pub type Reload = Box<dyn FnMut() -> Result<Config, String>>;
 
-/// How long a port that is in use is waited for at the start: a gateway that was killed a moment ago had it.
+/// How long startup retries to bind a port that is in use, as by a gateway that was killed a moment ago.
 const BIND_WITHIN: Duration = Duration::from_secs(2);
 const BIND_AGAIN: Duration = Duration::from_millis(20);
-/// How often a line of counts is logged.
+/// Interval between log lines with counts.
 const TELL: Micros = 10_000_000;
-/// After the last time for answers, how long they may take to leave.
+/// How long answers may take to leave after the deadline for answers.
 const LEAVE_WITHIN: Micros = 250_000;
-/// Meanwhile it is looked that often what has left.
+/// Interval at which flushing is checked.
 const FLUSH_LOOK: Micros = 5_000;
 
-/// A client that has gone is owed no further attempt 0.1 s later: what is begun leaves within half of that after the
-/// last look at the clients.
+/// No attempt may start later than 0.1 s after its client left: attempts are written within half of that
+/// after client sockets were last polled.
 const LONG_TURN: Micros = 50_000;
-/// A standstill of the process shows by a sleep that ends late. One that is shorter than the sleep does not, and what
-/// came meanwhile counts as later by as much: less than the 0.15 s by which a deadline passed to a host may be late.
+/// A pause of the process is detected by a sleep that ends late. A pause shorter than the sleep goes
+/// unnoticed and makes input received meanwhile look newer by as much: less than the 0.15 s by which a
+/// deadline passed to a host may be late.
 const LONGEST_SLEEP: Micros = 100_000;
-/// However much they say, so many looks are taken before the work goes on.
+/// Maximum number of extra reads before normal processing continues.
 const HEAR_AT_MOST: u32 = 64;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Life {
     Running,
-    /// TERM came then. Requests are still taken for a while.
+    /// TERM was received at this time. Requests are still accepted for a while.
     Leaving(Micros),
-    /// Nothing is taken any more, and what is open is answered; TERM came then.
+    /// TERM was received at this time. No new requests are accepted; open ones are completed.
     Stopping(Micros),
-    /// All is answered. What waits to be written may leave until then, and clients may close their connections.
+    /// Every request is answered. Until this time, pending output may be written and clients may close.
     Flushing(Micros),
 }
 
@@ -69,7 +70,7 @@
     look: Micros,
     tell: Micros,
     lateness: Lateness,
-    /// Requests that were read while only those who leave were listened for.
+    /// Requests read while only cancellations and disconnects were being processed.
     waiting: Waiting,
     inputs: VecDeque<Input>,
     outputs: Vec<Output>,
@@ -77,7 +78,7 @@
 }
 
 impl Platform {
-    /// Takes the signals, listens, and learns the list that the configuration holds.
+    /// Installs signal handlers, listens, and applies the host list in the configuration.
     pub fn start(config: &Config, reload: Reload) -> anyhow::Result<Self> {
         let settings = PlatformSettings::of(config)?;
         tracing::info!(
@@ -88,7 +89,7 @@
             "starts"
         );
         let mut hub = Hub::new(settings.hub).context("event loop")?;
-        // Before anybody can know of this process: a signal without its handler would end it.
+        // Before the process becomes reachable: a signal without its handler would end it.
         hub.signals(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP]).context("signals")?;
         hub.leave_within(LONG_TURN);
         let now = hub.clock().now();
@@ -127,12 +128,12 @@
         Ok(gateway)
     }
 
-    /// Where it listens.
+    /// The listening address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Runs until a signal ends it, all requests answered.
+    /// Runs until a signal stops it and all requests are answered.
     pub fn run(&mut self) -> io::Result<()> {
         loop {
             let now = self.hub.clock().now();
@@ -176,8 +177,9 @@
         }
     }
 
-    /// Right before the hub writes: what may no longer leave for its host is taken back. What the module sends instead
-    /// is asked about as well, so this goes on until nothing is taken back; a call's attempts are counted.
+    /// Right before the hub writes, cancels whatever may no longer be sent to its host. Replacement attempts
+    /// of the decision module are checked too, so this repeats until nothing is canceled; attempts per call
+    /// are limited, so it ends.
     fn clear_departures(&mut self) {
         loop {
             let now = self.hub.clock().now();
@@ -189,9 +191,10 @@
         }
     }
 
-    /// What was begun in this turn leaves with the next one. A client that has gone by then must be known of, so after
-    /// a long turn, or with more to read than one turn reads, the clients are listened to once more: who leaves or
-    /// takes back is heard at once, and new requests wait. So is the directory: what it tells counts as told.
+    /// Output of this iteration is written in the next one, and a client that has left by then must be known.
+    /// So after a long iteration, or with more input than one iteration reads, client sockets are read again:
+    /// cancellations and disconnects take effect at once, new requests wait. The directory's socket is read
+    /// too, as its answers count as notified.
     fn hear_news(&mut self) -> io::Result<()> {
         for _ in 0..HEAR_AT_MOST {
             if !self.hub.is_behind(LONG_TURN) || self.waiting.is_full() {
@@ -210,7 +213,7 @@
         Ok(())
     }
 
-    /// What the way to the end asks for now; true: it is reached.
+    /// Advances the shutdown; true once it is complete.
     fn live(&mut self, now: Micros) -> bool {
         match self.life {
             Life::Leaving(since) if since + self.settings.take_for <= now => {
@@ -248,7 +251,7 @@
         dues.into_iter().flatten().chain([self.look, self.tell]).min().unwrap_or(self.look)
     }
 
-    /// A request could be served.
+    /// Whether a request could be served.
     fn is_ready(&self) -> bool {
         self.life == Life::Running && self.engine.workers().any(|worker| worker.standing == Standing::In)
     }
@@ -289,7 +292,8 @@
         }
     }
 
-    /// Only the directory's address may change; with a fault in the file, or another gateway's, all stays as it was.
+    /// Applies a new directory address. If the file is invalid or belongs to another gateway, nothing
+    /// changes.
     fn read_again(&mut self) {
         let ours = |config: Config| match PlatformSettings::of(&config) {
             Ok(settings) if settings.is_same_gateway(&self.settings) => Ok(settings.directory),
@@ -323,7 +327,7 @@
         }
     }
 
-    /// A request's time runs since it came.
+    /// Starts a call. Its time limit counts from when the request was received.
     fn request(&mut self, connection: Connection, stream: u32, came: Micros, request: Request) {
         let waited = self.hub.clock().now().saturating_sub(came);
         let call = Call {
@@ -331,7 +335,7 @@
             function: request.function,
             class: request.class,
             tenant: request.tenant,
-            // Hosts drop repeats; this gateway keeps nothing, and a call that its client leaves is over.
+            // Hosts deduplicate; this gateway stores no results, and a call ends when its client leaves.
             key: request.once,
             is_key_for_workers: true,
             trace: request.id,
@@ -344,7 +348,7 @@
         self.give(Input::Call(Client { connection, number: u64::from(stream) }, call));
     }
 
-    /// The list in force is another one.
+    /// Applies a new host list.
     fn take_list(&mut self) {
         let hosts = self.directory.list().workers().to_vec();
         tracing::info!(serial = self.directory.list().number, hosts = hosts.len(), "list");
@@ -353,7 +357,7 @@
         ended.into_iter().for_each(|input| self.give(input));
     }
 
-    /// Gives the engine an input, carries out what it answers, and so on until nothing is left.
+    /// Passes an input to the engine and applies its outputs, until no inputs are left.
     fn give(&mut self, input: Input) {
         self.inputs.push_back(input);
         while let Some(input) = self.inputs.pop_front() {
@@ -395,8 +399,8 @@
             }
             Output::Probe(worker) => _ = self.hosts.probe(&mut self.hub, &worker),
             Output::Log(text) => tracing::info!("{text}"),
-            // The front sees to streams that are used twice; the directory is followed from the start; versions and
-            // deferred calls have no place in this protocol.
+            // Reused streams are handled by the client connections, the directory is followed from the start,
+            // and this protocol has no versions or deferred calls.
             Output::Close(..) | Output::Follow | Output::Accepted(..) => {}
             Output::Over { .. } | Output::Ran(..) | Output::Loaded(..) => {}
         }
