--- a/crates/platform/src/departures.rs
+++ b/crates/platform/src/departures.rs
@@ -1,9 +1,9 @@
-//! What was handed to hosts' connections and has not left yet.
+//! Attempts and orders that were queued for hosts and have not been sent yet.
 //!
-//! Right before the hub writes, the engine is asked about each of these once more ([`Engine::may_leave`]), and what it
-//! says is carried out: it stays where it is, it is taken off its connection and waits here, or it is taken back. A
-//! frame that waited for long is made anew, so that the time it names is the time that is left. What left is told to
-//! the engine, which checks it against the rules.
+//! Right before the hub writes, each of them is checked with the engine again ([`Engine::may_leave`]): it
+//! stays queued, is taken off its connection and parked here, or is canceled. A frame that was queued for
+//! long is built anew, so that the time limit in it is the time that is left. Whatever was sent is reported
+//! to the engine, which checks it against the rules.
 
 use std::collections::BTreeMap;
 
@@ -13,19 +13,19 @@
 
 use crate::hosts::{Hosts, Order};
 
-/// A frame that waited for longer names more time than its client has left: it is made anew.
+/// An older frame grants more time than its client has left, and is built anew.
 const FRAME_HOLDS: Micros = 50_000;
-/// An attempt that waits for longer to be allowed is taken back: another host may do.
+/// An attempt that was parked for longer is canceled: another host may do.
 const ATTEMPT_WAITS: Micros = 500_000;
-/// How often it is looked whether what waits here may leave.
+/// Interval at which parked items are checked.
 const LOOK: Micros = 10_000;
 
-/// What goes to a host.
+/// What is sent to a host.
 #[derive(Clone, Debug)]
 pub enum Work {
     /// An attempt.
     Attempt(Attempt),
-    /// An order to load.
+    /// A prewarm order.
     Order(Order),
 }
 
@@ -38,12 +38,12 @@
     }
 }
 
-/// Where something waits.
+/// Where an item waits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Place {
-    /// On its connection, since then.
+    /// Queued on its connection, since this time.
     Connection(Micros),
-    /// Here, since then.
+    /// Parked here, since this time.
     Parked(Micros),
 }
 
@@ -53,19 +53,19 @@
     place: Place,
 }
 
-/// Attempts and orders that have not left, by number.
+/// Unsent attempts and orders, by number.
 #[derive(Debug, Default)]
 pub struct Departures {
     pending: BTreeMap<u64, Pending>,
 }
 
 impl Departures {
-    /// Something was handed to a connection.
+    /// Records that an item was queued on a connection.
     pub fn handed(&mut self, now: Micros, number: u64, work: Work) {
         self.pending.insert(number, Pending { work, place: Place::Connection(now) });
     }
 
-    /// Forgets what waits here, and on no connection; true: it did.
+    /// Forgets an item if it is parked here, on no connection; true if it was.
     pub fn drop_parked(&mut self, number: u64) -> bool {
         let parked =
             self.pending.get(&number).is_some_and(|pending| matches!(pending.place, Place::Parked(_)));
@@ -75,13 +75,13 @@
         parked
     }
 
-    /// When [`Departures::clear`] is wanted next, if nothing else happens.
+    /// When [`Departures::clear`] should run next if nothing else happens.
     pub fn next_due(&self, now: Micros) -> Option<Micros> {
         let parked = self.pending.values().any(|pending| matches!(pending.place, Place::Parked(_)));
         parked.then_some(now + LOOK)
     }
 
-    /// The hub has written, and was done at that time: tells the engine what left, and forgets it.
+    /// Reports to the engine what was sent by the hub's last write, which ended at that time, and forgets it.
     pub fn wrote(&mut self, at: Micros, hub: &Hub, hosts: &Hosts, engine: &mut Engine) {
         self.pending.retain(|number, pending| {
             if matches!(pending.place, Place::Parked(_)) || hosts.is_waiting(hub, *number) {
@@ -95,7 +95,7 @@
         });
     }
 
-    /// Asks the engine about all that has not left; gives what it takes back.
+    /// Checks all unsent items with the engine; returns the ends of those that are canceled.
     pub fn clear(
         &mut self,
         now: Micros,
@@ -127,7 +127,7 @@
         }
     }
 
-    /// It may leave: an attempt on its connection if its frame still holds, else by a new frame.
+    /// The item may be sent: an attempt that is queued with a recent frame stays, else it gets a new frame.
     fn release(
         &mut self,
         now: Micros,
@@ -140,7 +140,7 @@
         let is_new = |since: Micros| now.saturating_sub(since) <= FRAME_HOLDS;
         match (pending.place, &mut pending.work) {
             (Place::Connection(_), Work::Order(_)) => None,
-            // The ration counts orders by the time at which they are given: it is for the module to give it again.
+            // The rate limit counts orders when they are issued, so the decision module must issue it again.
             (Place::Parked(_), Work::Order(_)) => {
                 self.pending.remove(&number);
                 Some(Input::OrderEnded(number, OrderEnd::CutOff, 0))
@@ -160,7 +160,7 @@
         }
     }
 
-    /// It may not leave yet: it waits here, and its host is asked if that is what it waits for.
+    /// The item may not be sent yet: parks it, and probes its host if that is what it waits for.
     fn keep(
         &mut self,
         now: Micros,
@@ -187,7 +187,7 @@
         }
     }
 
-    /// It may not leave at all.
+    /// The item may not be sent at all: cancels it.
     fn take_back(&mut self, number: u64, hub: &mut Hub, hosts: &mut Hosts) -> Option<Input> {
         let pending = self.pending.remove(&number)?;
         let here = matches!(pending.place, Place::Parked(_));
--- a/crates/platform/src/directory.rs
+++ b/crates/platform/src/directory.rs
@@ -1,15 +1,17 @@
-//! The directory, asked again and again.
+//! Periodic queries to the directory.
 //!
-//! An event counts as told when an answer that holds it is sent, and 1.5 s after it happened at the latest, whether
-//! the answer comes here or not. So an answer that got lost must be made up for well within the grace that the
-//! settings give a drain: a question without a good answer is soon asked again. And no good answer is thrown away for
-//! coming late, to a socket or from a directory that is no longer asked: what it tells was told.
+//! A gateway counts as notified of an event when an answer that contains it is sent, and 1.5 s after the
+//! event at the latest, whether or not the answer arrives. So a lost answer must be made up for well within
+//! the drain grace of the settings: a query without a good answer is soon repeated. And no good answer is
+//! discarded because it comes late, on a retired socket or from a former directory: the gateway counts as
+//! notified of its contents.
 //!
-//! An answer may be old, of this process or of the one before it, whose events were numbered on their own. Which answers
-//! are believed is for [`ListEvidence`] to say; until that is settled the directory is asked often.
+//! An answer may be stale, from this directory process or from an earlier one, which numbered its events
+//! independently. [`ListEvidence`] decides which answers to believe; while they disagree the directory is
+//! queried more often.
 //!
-//! How old the list is, is told to the engine ([`Directory::age`]), which says how long it may be acted on, and so is
-//! which hosts are disputed ([`Directory::disputed`]).
+//! The engine is given the age of the list ([`Directory::age`]), from which it derives how long the list may
+//! be used, and the disputed hosts ([`Directory::disputed`]).
 
 use std::collections::{BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -19,32 +21,33 @@
 use cresswheel_platform_wire::directory::{self, Listing};
 use cresswheel_transport::Hub;
 
-/// An event counts as told so long after it happened (the protocol's figure).
+/// A gateway counts as notified of an event this long after it happened (protocol).
 const TOLD_WITHIN: Micros = 1_500_000;
-/// What a silent directory would have told counts as told so long after the silence began (the protocol's figure).
+/// While the directory is silent, a gateway counts as notified of an event this long after the silence began
+/// (protocol).
 const TOLD_IN_SILENCE: Micros = 4_500_000;
-/// Questions within a drain's grace, besides those that are asked again: an event may happen right after an answer.
+/// Queries per drain grace, not counting retries: an event may happen right after an answer.
 const IN_A_GRACE: Micros = 5;
-/// However long the grace, it is asked that often: an event counts as told 1.5 s after it happened at the latest.
+/// Upper limit of the query period, as a gateway counts as notified of an event after 1.5 s.
 const LONGEST: Micros = 200_000;
-/// However short, no more often: each gateway of a fleet asks.
+/// Lower limit of the query period, as every gateway of a fleet queries the directory.
 const SHORTEST: Micros = 50_000;
-/// A question without a good answer is asked again after this part of the period, so many times in a row; then it
-/// is the directory that does not answer, and is asked at the usual pace.
+/// A query without a good answer is retried after this fraction of the period, up to the number of retries
+/// below; after that the directory counts as not answering and is queried at the normal period.
 const AGAIN: Micros = 4;
 const AGAIN_AT_MOST: u32 = 7;
-/// A question that is asked so much after its time shows that this process stood still.
+/// A query sent this much after its due time shows that the process was paused.
 const UNASKED: Micros = 300_000;
-/// So many questions in a row without a good answer are a silence.
+/// This many queries in a row without a good answer are a silence.
 const SILENT_AFTER: u32 = AGAIN_AT_MOST + 1;
-/// The answer to a question is still good when it comes so late, also on a socket that asks nothing any more.
+/// An answer is accepted this long after its query, also on a retired socket.
 const ANSWERED_WITHIN: Micros = 5_000_000;
-/// Questions remembered at most; more than are asked in that time.
+/// Maximum number of remembered queries; more than are sent within the answer timeout.
 const REMEMBERED: usize = 128;
-/// Sockets that ask nothing any more and are listened to, at most.
+/// Maximum number of retired sockets that are still read.
 const FORMER_SOCKETS: usize = 4;
 
-/// What the protocol and the settings say of when an event counts as told.
+/// The rules of the protocol and the settings on when a gateway counts as notified of an event.
 pub fn terms(grace: Micros, workers_answer: bool) -> ListTerms {
     ListTerms {
         told_within: TOLD_WITHIN,
@@ -55,7 +58,7 @@
     }
 }
 
-/// A question that was asked.
+/// A query that was sent.
 #[derive(Clone, Copy, Debug)]
 struct Question {
     id: u16,
@@ -63,14 +66,14 @@
     is_answered: bool,
 }
 
-/// A socket that was given up for asking, and is listened to until then.
+/// A socket that sends no more queries, and is still read until the given time.
 #[derive(Clone, Copy, Debug)]
 struct FormerSocket {
     number: usize,
     until: Micros,
 }
 
-/// Asks the directory, and keeps what is newer.
+/// Queries the directory and keeps the current list.
 pub struct Directory {
     socket: Option<usize>,
     former: VecDeque<FormerSocket>,
@@ -82,13 +85,13 @@
     questions: VecDeque<Question>,
     evidence: ListEvidence,
     age: ListAge,
-    /// Questions asked since an answer could be read last.
+    /// Queries sent since the last readable answer.
     unheard: u32,
     silent: bool,
 }
 
 impl Directory {
-    /// A directory of which a list is known; a drain that it told is to be kept within `grace`.
+    /// Starts from a known list; `grace` is the time within which a notified drain must be obeyed.
     pub fn new(now: Micros, address: SocketAddr, known: Listing, seed: u64, grace: Micros) -> Self {
         Self {
             socket: None,
@@ -100,15 +103,15 @@
             id: seed as u16,
             questions: VecDeque::new(),
             evidence: ListEvidence::new(ListVersion::new(known.serial, known.hosts), TOLD_WITHIN),
-            // What the configuration holds is what was told by the start: later events may have happened.
+            // The configuration contains the events notified by the start; later events may have happened.
             age: ListAge { as_of: now.saturating_sub(TOLD_WITHIN), ..ListAge::default() },
             unheard: 0,
             silent: false,
         }
     }
 
-    /// It is at another address from now on; its events are numbered on. Answers of the former one that are on their
-    /// way still count: what they hold was told.
+    /// Switches to a directory at another address, which continues the numbering of events. Answers of the
+    /// former one that are still in flight count, as the gateway is notified of their contents.
     pub fn move_to(&mut self, hub: &mut Hub, now: Micros, address: SocketAddr) {
         if address != self.address {
             tracing::info!(%address, "another directory");
@@ -120,7 +123,7 @@
         }
     }
 
-    /// Asks on it no more, and listens to it for a while: an answer may be on its way.
+    /// Stops sending on the socket, and keeps reading it for a while, as an answer may be in flight.
     fn give_up_socket(&mut self, hub: &mut Hub, now: Micros) {
         let former = self.socket.take().map(|number| FormerSocket { number, until: now + ANSWERED_WITHIN });
         self.former.extend(former);
@@ -129,37 +132,37 @@
         }
     }
 
-    /// Whose socket it is.
+    /// Whether the socket belongs to the directory.
     pub fn is_ours(&self, socket: usize) -> bool {
         self.socket == Some(socket) || self.former.iter().any(|former| former.number == socket)
     }
 
-    /// When it is to be asked next.
+    /// When the next query is due.
     pub fn next_due(&self) -> Micros {
         self.next
     }
 
-    /// The list in force.
+    /// The current list.
     pub fn list(&self) -> &ListVersion {
         self.evidence.held()
     }
 
-    /// Hosts about which answers contradict each other.
+    /// Hosts on which answers contradict each other.
     pub fn disputed(&self) -> BTreeSet<WorkerId> {
         self.evidence.disputed()
     }
 
-    /// What was counted of contradictions since the start.
+    /// Counters of contradictions since the start.
     pub fn contradictions(&self) -> Contradictions {
         self.evidence.contradictions()
     }
 
-    /// How current the list is.
+    /// The age of the list.
     pub fn age(&self) -> ListAge {
         self.age
     }
 
-    /// Asks, when it is time to; true: it did, and the list's age has changed.
+    /// Sends a query when it is due; true if it did, which changes the list's age.
     pub fn tick(&mut self, hub: &mut Hub, now: Micros) -> bool {
         if now < self.next {
             return false;
@@ -175,7 +178,8 @@
             tracing::warn!(serial = self.evidence.held().number, "the directory is silent");
         }
         if self.unheard.is_multiple_of(SILENT_AFTER) {
-            // Whatever no longer answers this socket may answer another: nothing tells the two apart from here.
+            // The socket may be at fault rather than the directory, which can't be told apart from here: try
+            // another socket.
             self.give_up_socket(hub, now);
         }
         self.forget(hub, now);
@@ -207,7 +211,7 @@
         }
     }
 
-    /// An answer came; true: another list has come into force.
+    /// Processes an answer; true if the current list changed.
     pub fn answered(&mut self, now: Micros, bytes: &[u8]) -> bool {
         let Some((asked, listing)) = self.read(bytes) else { return false };
         self.unheard = 0;
@@ -229,7 +233,7 @@
             self.age.unanswered = 0;
         }
         self.look_for_missing();
-        // More answers are wanted soon where they don't agree, one is missing, or they are too few after a while without.
+        // Query again soon if answers disagree, one is missing, or too few came after a gap.
         let is_behind = asked.saturating_sub(self.age.as_of) > AGREEING as Micros * self.period;
         if is_in_doubt || is_behind || self.age.first_missing.is_some_and(|missing| missing < asked) {
             self.next = self.next.min(self.asked + self.period / AGAIN);
@@ -239,7 +243,7 @@
         weighed.is_new
     }
 
-    /// Which answer is missing, if one is.
+    /// Finds the first query after the list's time that has no answer.
     fn look_for_missing(&mut self) {
         let as_of = self.age.as_of;
         let missing = |question: &&Question| question.asked > as_of && !question.is_answered;
@@ -259,7 +263,7 @@
         }
     }
 
-    /// The time of the question that it answers, and the list that it holds.
+    /// The time of the answered query, and the list in the answer.
     fn read(&mut self, bytes: &[u8]) -> Option<(Micros, Listing)> {
         let id = directory::answer_id(bytes);
         let Some(question) = self.questions.iter_mut().find(|question| Some(question.id) == id) else {
@@ -278,13 +282,13 @@
         }
     }
 
-    /// The list in force tells all that had happened by the time of that question.
+    /// Records that the current list contains all events up to the time of that query.
     fn is_as_of(&mut self, Exchange { asked, heard }: Exchange) {
         if asked <= self.age.as_of {
             return;
         }
         let later = || self.questions.iter().map(|question| question.asked).filter(|later| *later > asked);
-        // Whether it stood still before that question tells nothing of the time since.
+        // A pause of the process before that query says nothing about the time since.
         let gaps = later().zip(std::iter::once(asked).chain(later()));
         self.age = ListAge {
             as_of: asked,
--- a/crates/platform/src/directory/tests.rs
+++ b/crates/platform/src/directory/tests.rs
@@ -1,4 +1,4 @@
-//! The directory without its sockets: which answers count, and when it is asked.
+//! Which answers count, and when the directory is queried, without network I/O.
 
 use hickory_proto::op::{Message, MessageType, OpCode};
 use hickory_proto::rr::rdata::SOA;
@@ -14,7 +14,7 @@
     message.to_vec().unwrap()
 }
 
-/// A directory of which list 5 is known, and that is asked on a socket of its own.
+/// A directory client that knows list 5, and the socket that it queries.
 fn asked(now: Micros, grace: Micros) -> (Directory, Hub, std::net::UdpSocket) {
     let socket = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
     let hub = Hub::new(cresswheel_transport::HubLimits::default()).unwrap();
@@ -48,14 +48,14 @@
     for (grace, period) in [(1_000_000, 200_000), (500_000, 100_000), (0, 50_000), (60_000_000, 200_000)] {
         let mut due = 2_000_000;
         let (mut directory, mut hub, _socket) = asked(due, grace);
-        // The configuration's list is of an unknown time: the first answers are wanted soon.
+        // The age of the configuration's list is unknown: the first answers are wanted soon.
         for id in 41..44 {
             directory.tick(&mut hub, due);
             assert!(!directory.answered(due + 1_000, &told(id, 5)));
             assert_eq!(directory.next_due(), due + if id < 43 { period / 4 } else { period });
             due = directory.next_due();
         }
-        // One that is lost is asked for again, a few times in a row, then at the usual pace.
+        // A lost answer is queried again, a few times in a row, then at the normal period.
         let mut asked = vec![due];
         for _ in 0..9 {
             let due = *asked.last().unwrap();
@@ -67,7 +67,7 @@
         let gaps: Vec<Micros> = asked.windows(2).map(|pair| pair[1] - pair[0]).collect();
         assert_eq!(gaps, [[period / 4].repeat(7), vec![period; 2]].concat());
         assert!(grace == 0 || grace < period * 5 || asked[4] - asked[0] <= grace / 5);
-        // The next good answer brings the usual pace back.
+        // The next good answer restores the normal period.
         let last = directory.id;
         assert!(!directory.answered(asked[8] + 1, &told(last, 5)));
         assert_eq!(directory.age.unanswered, 0);
@@ -105,11 +105,11 @@
     let age = directory.age();
     assert_eq!((age.as_of, age.heard, age.first_unanswered), (times[0], times[3], Some(times[1])));
     assert_eq!((age.unanswered, age.unasked), (0, false));
-    // An answer to an earlier question that comes behind a later one's makes nothing older.
+    // A late answer to an earlier query makes nothing older.
     assert!(!directory.answered(times[3] + 2, &told(45, 6)));
     assert!(!directory.answered(times[3] + 3, &told(42, 6)));
     assert_eq!(directory.age().as_of, times[1]);
-    // The process stands still: what was asked before tells nothing of that time.
+    // The process is paused: earlier queries say nothing about that time.
     directory.tick(&mut hub, times[3] + 3_000_000);
     assert!(!directory.answered(times[3] + 3_000_001, &told(46, 6)));
     assert_eq!((directory.age().as_of, directory.age().unasked), (times[2], true));
--- a/crates/platform/src/lateness.rs
+++ b/crates/platform/src/lateness.rs
@@ -1,16 +1,16 @@
-//! How late the loop is, and the margin before a deadline that follows from it.
+//! Event-loop lag, and the safety margin before deadlines that follows from it.
 //!
-//! A gateway has a part of a core, and others may use the same one: a wake-up comes late now and then, and a last
-//! answer that is given on time by the module must still be with its client in time.
+//! A gateway may share its core: wake-ups come late now and then, and an answer that the decision module
+//! gives right before the deadline must still reach its client in time.
 
 use cresswheel::Micros;
 
-/// The worst of this span counts, and of the one before.
+/// The maximum over the current and the previous span of this length counts.
 const SPAN: Micros = 5_000_000;
-/// The margin never takes more than this from a request's time.
+/// Upper limit of the margin, which shortens the time of each request.
 const MOST: Micros = 100_000;
 
-/// The worst lateness of the last spans.
+/// The maximum event-loop lag of the last two spans.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Lateness {
     began: Micros,
@@ -19,7 +19,7 @@
 }
 
 impl Lateness {
-    /// Something that was due at `due` was seen to now.
+    /// Records that work due at `due` was started now.
     pub fn saw(&mut self, now: Micros, due: Micros) {
         if now.saturating_sub(self.began) >= SPAN {
             let stale = now.saturating_sub(self.began) >= 2 * SPAN;
@@ -29,7 +29,7 @@
         self.worst = self.worst.max(now.saturating_sub(due));
     }
 
-    /// The margin: twice the worst lateness, and what is wanted at the least.
+    /// The margin: `least` plus twice the maximum lag, within the limit.
     pub fn margin(&self, least: Micros) -> Micros {
         (least + 2 * self.worst.max(self.before)).min(MOST.max(least))
     }
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -1,5 +1,5 @@
-//! From the platform's configuration to what the rooms below are told. No figure here decides about a call; they
-//! share out descriptors, memory and time.
+//! Derives the settings of the lower crates from the platform's configuration. None of these values decides
+//! about a call; they divide descriptors, memory and time.
 
 use std::net::SocketAddr;
 
@@ -16,66 +16,66 @@
 const S: Micros = 1_000_000;
 const MS: Micros = 1_000;
 
-/// Open requests of one connection; the protocol's figure.
+/// Maximum open requests per connection (protocol).
 pub const PER_CONNECTION: usize = 32;
-/// Hosts are taken to end idle connections as soon as clients do, where the settings don't say.
+/// Idle timeout of host connections where the settings give none: assumed equal to that of clients.
 const IDLE_UNLESS_STATED: Micros = 4 * S;
-/// Descriptors of the program itself: loop, listener, directory, logs, and one to refuse with.
+/// Descriptors for the event loop, listener, directory and logs, and one to refuse connections with.
 const OWN: usize = 24;
-/// Hosts that descriptors are set aside for at least; a list may name more later.
+/// Minimum number of hosts to reserve descriptors for; a list may name more.
 const HOSTS_EXPECTED: usize = 16;
-/// An open request takes about so many bytes at most, its body and its answer included.
+/// Approximate maximum memory of an open request, with its body and answer.
 const REQUEST_BYTES: usize = 48 << 10;
 
-/// A message that is not whole is given up when nothing of it came for so long.
+/// Timeout of an incomplete message while nothing of it arrives.
 const HALF_SILENT: Micros = 5 * S / 4;
-/// While it goes on coming it may take as long as a client waits for its answer, within these.
+/// Limits of the total timeout of an incomplete message, which is otherwise the longest client timeout.
 const HALF_AT_LEAST: Micros = 2 * HALF_SILENT;
 const HALF_AT_MOST: Micros = 10 * S;
 
-/// What the module and the engine keep of a function, about.
+/// Approximate memory per function in the decision module and the engine.
 const FUNCTION_BYTES: usize = 2 << 10;
 
-/// What a gateway on the platform is told.
+/// Settings of a gateway on the platform.
 #[derive(Clone, Debug)]
 pub struct PlatformSettings {
-    /// Its name, for logs.
+    /// Gateway name, for logs.
     pub name: String,
-    /// Where clients connect.
+    /// Address for clients.
     pub listen: SocketAddr,
-    /// Where the directory is asked.
+    /// Address of the directory.
     pub directory: SocketAddr,
-    /// Makes its random numbers.
+    /// Seed of the random numbers.
     pub seed: u64,
     /// The engine and the decision module.
     pub engine: EngineSettings,
-    /// Clients' connections.
+    /// Limits of client connections.
     pub door: DoorLimits,
-    /// Connections to hosts.
+    /// Limits of connections to hosts.
     pub carriers: CarrierLimits,
-    /// Connections to all hosts together.
+    /// Connection limit over all hosts.
     pub host_connections: usize,
-    /// How late a second copy of a host's answer is reckoned with.
+    /// How long after an answer a duplicate of it may arrive.
     pub late: Late,
-    /// How often idle connections to hosts are looked for.
+    /// Interval of the check for idle connections to hosts.
     pub look: Micros,
-    /// Sockets.
+    /// Limits of the event loop.
     pub hub: HubLimits,
-    /// After TERM, requests are taken for this long.
+    /// How long requests are accepted after TERM.
     pub take_for: Micros,
-    /// After TERM, what is open then is answered at the latest.
+    /// Deadline for open requests after TERM.
     pub stop_within: Micros,
 }
 
 impl PlatformSettings {
-    /// Reads them out of a configuration.
+    /// Derives the settings from a configuration.
     pub fn of(config: &Config) -> Result<Self, ConfigError> {
         let pairs = config.pairs();
         let mut module = config.module()?;
         let give_up = module.classes.iter().map(|class| class.give_up).max().unwrap_or(S);
         let aim = module.classes.iter().map(|class| class.aim).min().unwrap_or(S);
-        // Not stated is not at once: a connection that takes longer than the shortest aim is of no use to a call, and
-        // no call waits longer for a load than for itself.
+        // A missing timeout is not zero: a connect that takes longer than the shortest latency objective is
+        // of no use to a call, and no call waits longer for a load than for itself.
         let unless_stated = |span: Micros, other: Micros| if span > 0 { span } else { other };
         module.connect_timeout = unless_stated(module.connect_timeout, aim);
         module.order_timeout = unless_stated(module.order_timeout, give_up);
@@ -127,7 +127,7 @@
             },
             host_connections,
             late: Late { unsafe_calls: give_up, others: aim },
-            // Often enough that none stands idle for as long as the host waits.
+            // Often enough that no connection is idle for as long as the host's timeout.
             look: (idle_close / 10).clamp(20 * MS, 500 * MS),
             hub: HubLimits { out: 1 << 20, accepted: usize::MAX, ..HubLimits::default() },
             take_for: 750 * MS,
@@ -137,7 +137,8 @@
 }
 
 impl PlatformSettings {
-    /// Whether these are of the same gateway of the same customer: name, address and classes stay while it runs.
+    /// Whether these belong to the same gateway of the same customer: name, address and classes can't change
+    /// while it runs.
     pub fn is_same_gateway(&self, other: &Self) -> bool {
         let classes = |settings: &Self| -> Vec<String> {
             settings.engine.module.classes.iter().map(|class| class.name.clone()).collect()
@@ -146,15 +147,15 @@
     }
 }
 
-/// Descriptors that the system lets this process open, whatever the configuration says: clients that filled them all
-/// would leave none for hosts and the directory.
+/// The process's descriptor limit, whatever the configuration says: clients that used all descriptors would
+/// leave none for hosts and the directory.
 fn descriptors_allowed() -> usize {
     let limit = getrlimit(Resource::Nofile).current;
     limit.map_or(usize::MAX, |limit| usize::try_from(limit).unwrap_or(usize::MAX))
 }
 
-/// Descriptors of clients and of hosts. Usual clients hold a third of all at most; more places keep theirs free when
-/// others come by the hundred.
+/// Divides descriptors between clients and hosts. Clients normally use at most a third of all; the rest of
+/// their half absorbs bursts of hundreds of new connections.
 fn share(descriptors: usize) -> (usize, usize) {
     let free = descriptors.saturating_sub(OWN);
     let clients = free / 2;
--- a/crates/platform/src/waiting.rs
+++ b/crates/platform/src/waiting.rs
@@ -1,13 +1,13 @@
-//! Requests that were read but not begun, while the gateway only listens for clients that leave.
+//! Requests that were read but not started, while the gateway only processes cancellations and disconnects.
 
 use std::collections::VecDeque;
 
 use crate::front::Ask;
 
-/// With so many bytes of bodies waiting, the gateway goes on to begin them.
+/// With this many bytes of bodies deferred, the gateway goes on to start requests.
 const MOST_BYTES: usize = 2 << 20;
 
-/// Requests in the order in which they came, without those whose clients have gone.
+/// Deferred requests in order of arrival, without those of clients that left.
 #[derive(Debug, Default)]
 pub struct Waiting {
     requests: VecDeque<Ask>,
@@ -15,8 +15,8 @@
 }
 
 impl Waiting {
-    /// Keeps a request. What takes one back drops it here if it still waits, and is given back as it may concern one
-    /// that was begun before.
+    /// Defers a request. A cancellation or disconnect drops deferred requests and is returned, as it may also
+    /// concern requests that were started before.
     pub fn hear(&mut self, ask: Ask) -> Option<Ask> {
         match ask {
             Ask::Request(..) => {
@@ -36,19 +36,19 @@
         self.bytes = self.requests.iter().map(body_bytes).sum();
     }
 
-    /// The first of them.
+    /// Takes the oldest request.
     pub fn take(&mut self) -> Option<Ask> {
         let ask = self.requests.pop_front()?;
         self.bytes -= body_bytes(&ask);
         Some(ask)
     }
 
-    /// Nothing waits.
+    /// Whether no request is deferred.
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// As much waits as may.
+    /// Whether the limit is reached.
     pub fn is_full(&self) -> bool {
         self.bytes >= MOST_BYTES
     }
--- a/crates/platform/src/waiting/tests.rs
+++ b/crates/platform/src/waiting/tests.rs
@@ -1,4 +1,4 @@
-//! What waits, and what no longer does once its client has gone.
+//! Which requests stay deferred when clients cancel or leave.
 
 use cresswheel_platform_wire::client::Request;
 use cresswheel_protocol::Shape;
