--- a/crates/platform/src/departures.rs
+++ b/crates/platform/src/departures.rs
@@ -14,22 +14,22 @@
 use crate::hosts::{Hosts, Order};
 
 /// An older frame grants more time than its client has left, and is built anew.
-const FRAME_HOLDS: Micros = 50_000;
+const MAX_FRAME_AGE: Micros = 50_000;
 /// An attempt that was parked for longer is canceled: another host may do.
-const ATTEMPT_WAITS: Micros = 500_000;
+const MAX_PARKED: Micros = 500_000;
 /// Interval at which parked items are checked.
-const LOOK: Micros = 10_000;
+const PARKED_POLL_INTERVAL: Micros = 10_000;
 
 /// What is sent to a host.
 #[derive(Clone, Debug)]
-pub enum Work {
+pub enum Item {
     /// An attempt.
     Attempt(Attempt),
     /// A prewarm order.
     Order(Order),
 }
 
-impl Work {
+impl Item {
     fn worker(&self) -> &WorkerId {
         match self {
             Self::Attempt(attempt) => &attempt.worker,
@@ -40,77 +40,77 @@
 
 /// Where an item waits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Place {
+enum Location {
     /// Queued on its connection, since this time.
-    Connection(Micros),
+    Queued(Micros),
     /// Parked here, since this time.
     Parked(Micros),
 }
 
 #[derive(Debug)]
-struct Pending {
-    work: Work,
-    place: Place,
+struct Unsent {
+    item: Item,
+    location: Location,
 }
 
 /// Unsent attempts and orders, by number.
 #[derive(Debug, Default)]
-pub struct Departures {
-    pending: BTreeMap<u64, Pending>,
+pub struct UnsentItems {
+    unsent: BTreeMap<u64, Unsent>,
 }
 
-impl Departures {
+impl UnsentItems {
     /// Records that an item was queued on a connection.
-    pub fn handed(&mut self, now: Micros, number: u64, work: Work) {
-        self.pending.insert(number, Pending { work, place: Place::Connection(now) });
+    pub fn queued(&mut self, now: Micros, number: u64, item: Item) {
+        self.unsent.insert(number, Unsent { item, location: Location::Queued(now) });
     }
 
     /// Forgets an item if it is parked here, on no connection; true if it was.
-    pub fn drop_parked(&mut self, number: u64) -> bool {
+    pub fn forget_parked(&mut self, number: u64) -> bool {
         let parked =
-            self.pending.get(&number).is_some_and(|pending| matches!(pending.place, Place::Parked(_)));
+            self.unsent.get(&number).is_some_and(|unsent| matches!(unsent.location, Location::Parked(_)));
         if parked {
-            self.pending.remove(&number);
+            self.unsent.remove(&number);
         }
         parked
     }
 
-    /// When [`Departures::clear`] should run next if nothing else happens.
+    /// When [`UnsentItems::recheck`] should run next if nothing else happens.
     pub fn next_due(&self, now: Micros) -> Option<Micros> {
-        let parked = self.pending.values().any(|pending| matches!(pending.place, Place::Parked(_)));
-        parked.then_some(now + LOOK)
+        let parked = self.unsent.values().any(|unsent| matches!(unsent.location, Location::Parked(_)));
+        parked.then_some(now + PARKED_POLL_INTERVAL)
     }
 
     /// Reports to the engine what was sent by the hub's last write, which ended at that time, and forgets it.
-    pub fn wrote(&mut self, at: Micros, hub: &Hub, hosts: &Hosts, engine: &mut Engine) {
-        self.pending.retain(|number, pending| {
-            if matches!(pending.place, Place::Parked(_)) || hosts.is_waiting(hub, *number) {
+    pub fn after_write(&mut self, at: Micros, hub: &Hub, hosts: &Hosts, engine: &mut Engine) {
+        self.unsent.retain(|number, unsent| {
+            if matches!(unsent.location, Location::Parked(_)) || hosts.is_unsent(hub, *number) {
                 return true;
             }
-            let broken = hosts.has_left(hub, *number).then(|| engine.departed(at, *number)).flatten();
-            if let Some(rule) = broken {
-                tracing::error!(number, worker = %pending.work.worker(), rule, "left against a rule");
+            let violated = hosts.has_sent_bytes(hub, *number).then(|| engine.departed(at, *number)).flatten();
+            if let Some(rule) = violated {
+                tracing::error!(number, worker = %unsent.item.worker(), rule, "left against a rule");
             }
             false
         });
     }
 
     /// Checks all unsent items with the engine; returns the ends of those that are canceled.
-    pub fn clear(
+    pub fn recheck(
         &mut self,
         now: Micros,
         hub: &mut Hub,
         hosts: &mut Hosts,
         engine: &mut Engine,
     ) -> Vec<Input> {
-        let numbers: Vec<u64> = self.pending.keys().copied().collect();
+        let numbers: Vec<u64> = self.unsent.keys().copied().collect();
         let mut ended = Vec::new();
         for number in numbers {
             let departure = engine.may_leave(now, number);
             let over = match departure {
-                Departure::Now => self.release(now, number, hub, hosts, engine),
-                Departure::Wait(what) => self.keep(now, number, what, hub, hosts),
-                Departure::Never(_) => self.take_back(number, hub, hosts),
+                Departure::Now => self.allow(now, number, hub, hosts, engine),
+                Departure::Wait(what) => self.park(now, number, what, hub, hosts),
+                Departure::Never(_) => self.cancel(number, hub, hosts),
             };
             if departure != Departure::Now && (over.is_some() || self.parked_at(number) == Some(now)) {
                 engine.kept_back(departure);
@@ -121,14 +121,14 @@
     }
 
     fn parked_at(&self, number: u64) -> Option<Micros> {
-        match self.pending.get(&number)?.place {
-            Place::Parked(since) => Some(since),
-            Place::Connection(_) => None,
+        match self.unsent.get(&number)?.location {
+            Location::Parked(since) => Some(since),
+            Location::Queued(_) => None,
         }
     }
 
     /// The item may be sent: an attempt that is queued with a recent frame stays, else it gets a new frame.
-    fn release(
+    fn allow(
         &mut self,
         now: Micros,
         number: u64,
@@ -136,24 +136,26 @@
         hosts: &mut Hosts,
         engine: &Engine,
     ) -> Option<Input> {
-        let pending = self.pending.get_mut(&number)?;
-        let is_new = |since: Micros| now.saturating_sub(since) <= FRAME_HOLDS;
-        match (pending.place, &mut pending.work) {
-            (Place::Connection(_), Work::Order(_)) => None,
+        let unsent = self.unsent.get_mut(&number)?;
+        let is_recent = |since: Micros| now.saturating_sub(since) <= MAX_FRAME_AGE;
+        match (unsent.location, &mut unsent.item) {
+            (Location::Queued(_), Item::Order(_)) => None,
             // The rate limit counts orders when they are issued, so the decision module must issue it again.
-            (Place::Parked(_), Work::Order(_)) => {
-                self.pending.remove(&number);
+            (Location::Parked(_), Item::Order(_)) => {
+                self.unsent.remove(&number);
                 Some(Input::OrderEnded(number, OrderEnd::CutOff, 0))
             }
-            (Place::Connection(since), Work::Attempt(_)) if is_new(since) || !hosts.take_off(hub, number) => {
+            (Location::Queued(since), Item::Attempt(_))
+                if is_recent(since) || !hosts.unqueue(hub, number) =>
+            {
                 None
             }
-            (_, Work::Attempt(attempt)) => {
+            (_, Item::Attempt(attempt)) => {
                 (attempt.time_left, attempt.timeout) = engine.times_left(now, number)?;
-                pending.place = Place::Connection(now);
+                unsent.location = Location::Queued(now);
                 let ended = hosts.run(hub, attempt);
                 if ended.is_some() {
-                    self.pending.remove(&number);
+                    self.unsent.remove(&number);
                 }
                 ended
             }
@@ -161,7 +163,7 @@
     }
 
     /// The item may not be sent yet: parks it, and probes its host if that is what it waits for.
-    fn keep(
+    fn park(
         &mut self,
         now: Micros,
         number: u64,
@@ -169,34 +171,32 @@
         hub: &mut Hub,
         hosts: &mut Hosts,
     ) -> Option<Input> {
-        let pending = self.pending.get_mut(&number)?;
-        let since = match pending.place {
-            Place::Parked(since) => since,
-            Place::Connection(_) if hosts.take_off(hub, number) => now,
-            Place::Connection(_) => return None,
+        let unsent = self.unsent.get_mut(&number)?;
+        let since = match unsent.location {
+            Location::Parked(since) => since,
+            Location::Queued(_) if hosts.unqueue(hub, number) => now,
+            Location::Queued(_) => return None,
         };
-        pending.place = Place::Parked(since);
+        unsent.location = Location::Parked(since);
         if what == WaitFor::Worker {
-            hosts.ask(hub, now, pending.work.worker());
+            hosts.request_probe(hub, now, unsent.item.worker());
         }
-        match pending.work {
-            Work::Attempt(_) if since.saturating_add(ATTEMPT_WAITS) <= now => {
-                self.take_back(number, hub, hosts)
-            }
-            Work::Attempt(_) | Work::Order(_) => None,
+        match unsent.item {
+            Item::Attempt(_) if since.saturating_add(MAX_PARKED) <= now => self.cancel(number, hub, hosts),
+            Item::Attempt(_) | Item::Order(_) => None,
         }
     }
 
     /// The item may not be sent at all: cancels it.
-    fn take_back(&mut self, number: u64, hub: &mut Hub, hosts: &mut Hosts) -> Option<Input> {
-        let pending = self.pending.remove(&number)?;
-        let here = matches!(pending.place, Place::Parked(_));
-        if !here && !hosts.take_off(hub, number) {
+    fn cancel(&mut self, number: u64, hub: &mut Hub, hosts: &mut Hosts) -> Option<Input> {
+        let unsent = self.unsent.remove(&number)?;
+        let is_parked = matches!(unsent.location, Location::Parked(_));
+        if !is_parked && !hosts.unqueue(hub, number) {
             return None;
         }
-        Some(match pending.work {
-            Work::Attempt(_) => Input::AttemptEnded(number, AttemptEnd::TakenBack, Vec::new(), None),
-            Work::Order(_) => Input::OrderEnded(number, OrderEnd::NotConnected, 0),
+        Some(match unsent.item {
+            Item::Attempt(_) => Input::AttemptEnded(number, AttemptEnd::TakenBack, Vec::new(), None),
+            Item::Order(_) => Input::OrderEnded(number, OrderEnd::NotConnected, 0),
         })
     }
 }
--- a/crates/platform/src/directory.rs
+++ b/crates/platform/src/directory.rs
@@ -22,36 +22,36 @@
 use cresswheel_transport::Hub;
 
 /// A gateway counts as notified of an event this long after it happened (protocol).
-const TOLD_WITHIN: Micros = 1_500_000;
+const NOTIFIED_WITHIN: Micros = 1_500_000;
 /// While the directory is silent, a gateway counts as notified of an event this long after the silence began
 /// (protocol).
-const TOLD_IN_SILENCE: Micros = 4_500_000;
+const NOTIFIED_IN_SILENCE: Micros = 4_500_000;
 /// Queries per drain grace, not counting retries: an event may happen right after an answer.
-const IN_A_GRACE: Micros = 5;
+const QUERIES_PER_GRACE: Micros = 5;
 /// Upper limit of the query period, as a gateway counts as notified of an event after 1.5 s.
-const LONGEST: Micros = 200_000;
+const MAX_PERIOD: Micros = 200_000;
 /// Lower limit of the query period, as every gateway of a fleet queries the directory.
-const SHORTEST: Micros = 50_000;
+const MIN_PERIOD: Micros = 50_000;
 /// A query without a good answer is retried after this fraction of the period, up to the number of retries
 /// below; after that the directory counts as not answering and is queried at the normal period.
-const AGAIN: Micros = 4;
-const AGAIN_AT_MOST: u32 = 7;
+const RETRY_DIVISOR: Micros = 4;
+const MAX_RETRIES: u32 = 7;
 /// A query sent this much after its due time shows that the process was paused.
-const UNASKED: Micros = 300_000;
+const PAUSED_AFTER: Micros = 300_000;
 /// This many queries in a row without a good answer are a silence.
-const SILENT_AFTER: u32 = AGAIN_AT_MOST + 1;
+const SILENT_AFTER: u32 = MAX_RETRIES + 1;
 /// An answer is accepted this long after its query, also on a retired socket.
-const ANSWERED_WITHIN: Micros = 5_000_000;
+const ANSWER_TIMEOUT: Micros = 5_000_000;
 /// Maximum number of remembered queries; more than are sent within the answer timeout.
-const REMEMBERED: usize = 128;
+const MAX_QUERIES: usize = 128;
 /// Maximum number of retired sockets that are still read.
-const FORMER_SOCKETS: usize = 4;
+const MAX_RETIRED_SOCKETS: usize = 4;
 
 /// The rules of the protocol and the settings on when a gateway counts as notified of an event.
 pub fn terms(grace: Micros, workers_answer: bool) -> ListTerms {
     ListTerms {
-        told_within: TOLD_WITHIN,
-        told_in_silence: TOLD_IN_SILENCE,
+        told_within: NOTIFIED_WITHIN,
+        told_in_silence: NOTIFIED_IN_SILENCE,
         grace,
         silent_after: SILENT_AFTER,
         workers_answer,
@@ -60,7 +60,7 @@
 
 /// A query that was sent.
 #[derive(Clone, Copy, Debug)]
-struct Question {
+struct Query {
     id: u16,
     asked: Micros,
     is_answered: bool,
@@ -68,7 +68,7 @@
 
 /// A socket that sends no more queries, and is still read until the given time.
 #[derive(Clone, Copy, Debug)]
-struct FormerSocket {
+struct RetiredSocket {
     number: usize,
     until: Micros,
 }
@@ -76,17 +76,17 @@
 /// Queries the directory and keeps the current list.
 pub struct Directory {
     socket: Option<usize>,
-    former: VecDeque<FormerSocket>,
+    retired: VecDeque<RetiredSocket>,
     address: SocketAddr,
     period: Micros,
     asked: Micros,
     next: Micros,
     id: u16,
-    questions: VecDeque<Question>,
+    queries: VecDeque<Query>,
     evidence: ListEvidence,
     age: ListAge,
     /// Queries sent since the last readable answer.
-    unheard: u32,
+    unanswered_in_a_row: u32,
     silent: bool,
 }
 
@@ -95,46 +95,46 @@
     pub fn new(now: Micros, address: SocketAddr, known: Listing, seed: u64, grace: Micros) -> Self {
         Self {
             socket: None,
-            former: VecDeque::new(),
+            retired: VecDeque::new(),
             address,
-            period: (grace / IN_A_GRACE).clamp(SHORTEST, LONGEST),
+            period: (grace / QUERIES_PER_GRACE).clamp(MIN_PERIOD, MAX_PERIOD),
             asked: now,
             next: now,
             id: seed as u16,
-            questions: VecDeque::new(),
-            evidence: ListEvidence::new(ListVersion::new(known.serial, known.hosts), TOLD_WITHIN),
+            queries: VecDeque::new(),
+            evidence: ListEvidence::new(ListVersion::new(known.serial, known.hosts), NOTIFIED_WITHIN),
             // The configuration contains the events notified by the start; later events may have happened.
-            age: ListAge { as_of: now.saturating_sub(TOLD_WITHIN), ..ListAge::default() },
-            unheard: 0,
+            age: ListAge { as_of: now.saturating_sub(NOTIFIED_WITHIN), ..ListAge::default() },
+            unanswered_in_a_row: 0,
             silent: false,
         }
     }
 
     /// Switches to a directory at another address, which continues the numbering of events. Answers of the
     /// former one that are still in flight count, as the gateway is notified of their contents.
-    pub fn move_to(&mut self, hub: &mut Hub, now: Micros, address: SocketAddr) {
+    pub fn set_address(&mut self, hub: &mut Hub, now: Micros, address: SocketAddr) {
         if address != self.address {
             tracing::info!(%address, "another directory");
             self.address = address;
-            self.give_up_socket(hub, now);
+            self.retire_socket(hub, now);
             self.age.unanswered = 0;
-            self.unheard = 0;
+            self.unanswered_in_a_row = 0;
             self.next = now;
         }
     }
 
     /// Stops sending on the socket, and keeps reading it for a while, as an answer may be in flight.
-    fn give_up_socket(&mut self, hub: &mut Hub, now: Micros) {
-        let former = self.socket.take().map(|number| FormerSocket { number, until: now + ANSWERED_WITHIN });
-        self.former.extend(former);
-        while self.former.len() > FORMER_SOCKETS {
-            self.former.pop_front().into_iter().for_each(|former| hub.close_datagrams(former.number));
+    fn retire_socket(&mut self, hub: &mut Hub, now: Micros) {
+        let retired = self.socket.take().map(|number| RetiredSocket { number, until: now + ANSWER_TIMEOUT });
+        self.retired.extend(retired);
+        while self.retired.len() > MAX_RETIRED_SOCKETS {
+            self.retired.pop_front().into_iter().for_each(|retired| hub.close_datagrams(retired.number));
         }
     }
 
     /// Whether the socket belongs to the directory.
     pub fn is_ours(&self, socket: usize) -> bool {
-        self.socket == Some(socket) || self.former.iter().any(|former| former.number == socket)
+        self.socket == Some(socket) || self.retired.iter().any(|retired| retired.number == socket)
     }
 
     /// When the next query is due.
@@ -167,90 +167,91 @@
         if now < self.next {
             return false;
         }
-        self.age.unasked |= now.saturating_sub(self.next) > UNASKED;
-        self.next = now + if self.unheard < AGAIN_AT_MOST { self.period / AGAIN } else { self.period };
+        self.age.unasked |= now.saturating_sub(self.next) > PAUSED_AFTER;
+        self.next = now
+            + if self.unanswered_in_a_row < MAX_RETRIES { self.period / RETRY_DIVISOR } else { self.period };
         self.asked = now;
         self.age.unanswered = self.age.unanswered.saturating_add(1);
         self.age.first_unanswered.get_or_insert(now);
-        self.unheard = self.unheard.saturating_add(1);
-        if !self.silent && self.unheard > SILENT_AFTER {
+        self.unanswered_in_a_row = self.unanswered_in_a_row.saturating_add(1);
+        if !self.silent && self.unanswered_in_a_row > SILENT_AFTER {
             self.silent = true;
             tracing::warn!(serial = self.evidence.held().number, "the directory is silent");
         }
-        if self.unheard.is_multiple_of(SILENT_AFTER) {
+        if self.unanswered_in_a_row.is_multiple_of(SILENT_AFTER) {
             // The socket may be at fault rather than the directory, which can't be told apart from here: try
             // another socket.
-            self.give_up_socket(hub, now);
+            self.retire_socket(hub, now);
         }
-        self.forget(hub, now);
-        self.ask(hub, now);
-        self.look_for_missing();
+        self.expire(hub, now);
+        self.send_query(hub, now);
+        self.update_first_missing();
         true
     }
 
-    fn forget(&mut self, hub: &mut Hub, now: Micros) {
-        let over = self.former.iter().take_while(|former| former.until <= now).count();
-        self.former.drain(..over).for_each(|former| hub.close_datagrams(former.number));
-        let is_over = |question: &Question| question.asked.saturating_add(ANSWERED_WITHIN) <= now;
-        while self.questions.len() >= REMEMBERED || self.questions.front().is_some_and(is_over) {
-            self.questions.pop_front();
+    fn expire(&mut self, hub: &mut Hub, now: Micros) {
+        let over = self.retired.iter().take_while(|retired| retired.until <= now).count();
+        self.retired.drain(..over).for_each(|retired| hub.close_datagrams(retired.number));
+        let is_over = |sent_query: &Query| sent_query.asked.saturating_add(ANSWER_TIMEOUT) <= now;
+        while self.queries.len() >= MAX_QUERIES || self.queries.front().is_some_and(is_over) {
+            self.queries.pop_front();
         }
     }
 
-    fn ask(&mut self, hub: &mut Hub, now: Micros) {
+    fn send_query(&mut self, hub: &mut Hub, now: Micros) {
         if self.socket.is_none() {
             match hub.datagrams(self.address) {
                 Ok(socket) => self.socket = Some(socket),
-                Err(error) => return tracing::warn!(%error, "no socket for the directory"),
+                Err(error) => return tracing::warn!(%error, "cannot open a socket for the directory"),
             }
         }
         self.id = self.id.wrapping_add(1);
         if let (Some(socket), Ok(query)) = (self.socket, directory::query(self.id)) {
             hub.send_datagram(socket, &query);
-            self.questions.push_back(Question { id: self.id, asked: now, is_answered: false });
+            self.queries.push_back(Query { id: self.id, asked: now, is_answered: false });
         }
     }
 
     /// Processes an answer; true if the current list changed.
     pub fn answered(&mut self, now: Micros, bytes: &[u8]) -> bool {
         let Some((asked, listing)) = self.read(bytes) else { return false };
-        self.unheard = 0;
+        self.unanswered_in_a_row = 0;
         if std::mem::replace(&mut self.silent, false) {
             tracing::info!("the directory answers again");
         }
         let (before, since) = (self.evidence.contradictions(), self.evidence.contradicted_since());
         let (serial, hosts) = (listing.serial, listing.hosts.len());
         let exchange = Exchange { asked, heard: now };
-        let weighed = self.evidence.weigh(exchange, ListVersion::new(listing.serial, listing.hosts));
+        let verdict = self.evidence.weigh(exchange, ListVersion::new(listing.serial, listing.hosts));
         if since.is_none() && self.evidence.contradicted_since().is_some() {
             let (known, disputed) = (self.evidence.held().number, self.evidence.disputed().len());
             tracing::info!(serial, hosts, known, disputed, "an answer contradicts the list");
         }
-        self.tell_settled(now, before, since);
-        weighed.as_of.into_iter().for_each(|exchange| self.is_as_of(exchange));
+        self.log_settled(now, before, since);
+        verdict.as_of.into_iter().for_each(|exchange| self.set_as_of(exchange));
         let is_in_doubt = self.evidence.is_in_doubt();
         if !is_in_doubt {
             self.age.unanswered = 0;
         }
-        self.look_for_missing();
+        self.update_first_missing();
         // Query again soon if answers disagree, one is missing, or too few came after a gap.
         let is_behind = asked.saturating_sub(self.age.as_of) > AGREEING as Micros * self.period;
         if is_in_doubt || is_behind || self.age.first_missing.is_some_and(|missing| missing < asked) {
-            self.next = self.next.min(self.asked + self.period / AGAIN);
+            self.next = self.next.min(self.asked + self.period / RETRY_DIVISOR);
         } else {
             self.next = self.next.max(self.asked + self.period);
         }
-        weighed.is_new
+        verdict.is_new
     }
 
     /// Finds the first query after the list's time that has no answer.
-    fn look_for_missing(&mut self) {
+    fn update_first_missing(&mut self) {
         let as_of = self.age.as_of;
-        let missing = |question: &&Question| question.asked > as_of && !question.is_answered;
-        self.age.first_missing = self.questions.iter().find(missing).map(|question| question.asked);
+        let missing = |sent_query: &&Query| sent_query.asked > as_of && !sent_query.is_answered;
+        self.age.first_missing = self.queries.iter().find(missing).map(|sent_query| sent_query.asked);
     }
 
-    fn tell_settled(&self, now: Micros, before: Contradictions, since: Option<Micros>) {
+    fn log_settled(&self, now: Micros, before: Contradictions, since: Option<Micros>) {
         let after = self.evidence.contradictions();
         if after.settled == before.settled {
             return;
@@ -259,35 +260,35 @@
         let serial = self.evidence.held().number;
         tracing::info!(serial, lasted_ms, "answers agree again");
         if after.overturned > before.overturned {
-            tracing::warn!(serial, "a list that was believed was not current");
+            tracing::warn!(serial, "the list in use was stale");
         }
     }
 
     /// The time of the answered query, and the list in the answer.
     fn read(&mut self, bytes: &[u8]) -> Option<(Micros, Listing)> {
         let id = directory::answer_id(bytes);
-        let Some(question) = self.questions.iter_mut().find(|question| Some(question.id) == id) else {
-            tracing::debug!("an answer to no question");
+        let Some(sent_query) = self.queries.iter_mut().find(|sent_query| Some(sent_query.id) == id) else {
+            tracing::debug!("directory answer without a query");
             return None;
         };
         match directory::answer(bytes) {
             Ok(listing) => {
-                question.is_answered = true;
-                Some((question.asked, listing))
+                sent_query.is_answered = true;
+                Some((sent_query.asked, listing))
             }
             Err(error) => {
-                tracing::debug!(%error, "the directory's answer tells nothing");
+                tracing::debug!(%error, "unusable directory answer");
                 None
             }
         }
     }
 
     /// Records that the current list contains all events up to the time of that query.
-    fn is_as_of(&mut self, Exchange { asked, heard }: Exchange) {
+    fn set_as_of(&mut self, Exchange { asked, heard }: Exchange) {
         if asked <= self.age.as_of {
             return;
         }
-        let later = || self.questions.iter().map(|question| question.asked).filter(|later| *later > asked);
+        let later = || self.queries.iter().map(|sent_query| sent_query.asked).filter(|later| *later > asked);
         // A pause of the process before that query says nothing about the time since.
         let gaps = later().zip(std::iter::once(asked).chain(later()));
         self.age = ListAge {
@@ -296,7 +297,9 @@
             first_unanswered: later().next(),
             first_missing: self.age.first_missing,
             unanswered: self.age.unanswered,
-            unasked: gaps.into_iter().any(|(next, before)| next.saturating_sub(before) > UNASKED + LONGEST),
+            unasked: gaps
+                .into_iter()
+                .any(|(next, before)| next.saturating_sub(before) > PAUSED_AFTER + MAX_PERIOD),
         };
     }
 }
--- a/crates/platform/src/front.rs
+++ b/crates/platform/src/front.rs
@@ -5,32 +5,32 @@
 
 use cresswheel::Micros;
 use cresswheel_admission::{Act, Arrival, Door, DoorCounts, DoorLimits, Sign};
-use cresswheel_platform_wire::client::{self, ClientDecoder, Code, FromClient, Request};
+use cresswheel_platform_wire::client::{self as wire, ClientDecoder, Code, FromClient, Request};
 use cresswheel_transport::{Connection, Hub, Notice, slot};
 use foldhash::{HashMap, HashMapExt, HashSet, HashSetExt};
 
-use crate::settings::PER_CONNECTION;
+use crate::settings::REQUESTS_PER_CONNECTION;
 
 /// A client with a larger output backlog counts as not reading, and its new requests are rejected. Its input
 /// is still read, as it may hold cancellations.
-const BACKLOG: usize = 64 << 10;
+const MAX_BACKLOG: usize = 64 << 10;
 /// A connection is closed after this many unusable requests.
-const UNUSABLE: u32 = 8;
+const MAX_UNUSABLE: u32 = 8;
 /// A connection is closed after this many requests without reading its answers.
-const UNREAD: u32 = 1_000;
+const MAX_UNREAD: u32 = 1_000;
 
 /// What clients did.
 #[derive(Debug)]
-pub enum Ask {
+pub enum ClientEvent {
     /// A request with its connection and stream, and the earliest time at which it can have arrived.
     Request(Connection, u32, Micros, Request),
     /// The client canceled the request on this stream.
-    TakenBack(Connection, u32),
+    Canceled(Connection, u32),
     /// The client disconnected.
     Left(Connection),
 }
 
-struct Guest {
+struct Client {
     decoder: ClientDecoder,
     /// Streams with an unanswered request, and its id.
     streams: HashMap<u32, String>,
@@ -41,69 +41,69 @@
     /// closed.
     ending: bool,
     /// An incomplete message timed out as more of it arrived; its timeout was restarted once.
-    overdue: bool,
+    timeout_extended: bool,
 }
 
 /// All client connections.
-pub struct Front {
-    door: Door,
-    places: usize,
+pub struct ClientConnections {
+    admission: Door,
+    max_connections: usize,
     /// Slow readers are tolerated while their total backlog stays below this many bytes.
-    most_unread: usize,
-    guests: HashMap<Connection, Guest>,
+    max_total_backlog: usize,
+    connections: HashMap<Connection, Client>,
     by_slot: HashMap<usize, Connection>,
     /// Ids of open requests.
     ids: HashSet<String>,
-    asks: VecDeque<Ask>,
-    leaving: bool,
+    events: VecDeque<ClientEvent>,
+    draining: bool,
     listening: bool,
     /// Requests rejected here, by reason.
-    pub turned_away: HashMap<&'static str, u64>,
+    pub rejected: HashMap<&'static str, u64>,
     /// Connections closed here with an unanswered request. Must stay 0.
     pub closed_owed: u64,
 }
 
 /// Close reason of a client that keeps sending requests without reading.
-const UNREAD_FOR_LONG: &str = "asks and does not read";
+const NOT_READING: &str = "asks and does not read";
 
-impl Front {
+impl ClientConnections {
     pub fn new(now: Micros, limits: DoorLimits) -> Self {
         Self {
-            door: Door::new(now, limits),
-            places: limits.connections,
-            most_unread: limits.half_bytes,
-            guests: HashMap::new(),
+            admission: Door::new(now, limits),
+            max_connections: limits.connections,
+            max_total_backlog: limits.half_bytes,
+            connections: HashMap::new(),
             by_slot: HashMap::new(),
             ids: HashSet::new(),
-            asks: VecDeque::new(),
-            leaving: false,
+            events: VecDeque::new(),
+            draining: false,
             listening: true,
-            turned_away: HashMap::new(),
+            rejected: HashMap::new(),
             closed_owed: 0,
         }
     }
 
-    pub fn take_ask(&mut self) -> Option<Ask> {
-        self.asks.pop_front()
+    pub fn take_event(&mut self) -> Option<ClientEvent> {
+        self.events.pop_front()
     }
 
     pub fn counts(&self) -> DoorCounts {
-        self.door.counts()
+        self.admission.counts()
     }
 
     /// Asks all clients to send no new requests here. Requests that arrive anyway are accepted as before.
-    pub fn leave(&mut self, hub: &mut Hub) {
-        self.leaving = true;
-        for connection in self.guests.keys().copied() {
-            hub.write(connection, None, client::leaving);
+    pub fn drain(&mut self, hub: &mut Hub) {
+        self.draining = true;
+        for connection in self.connections.keys().copied() {
+            hub.write(connection, None, wire::leaving);
         }
     }
 
     /// Accepts the connections in the listen queue, then stops listening.
-    pub fn shut(&mut self, hub: &mut Hub) {
+    pub fn stop_accepting(&mut self, hub: &mut Hub) {
         hub.accept_waiting();
         hub.stop_listening();
-        self.leave(hub);
+        self.drain(hub);
     }
 
     /// Handles notices of client connections; returns all others.
@@ -111,20 +111,20 @@
         let now = hub.clock().now();
         match notice {
             Notice::Opened(connection, _) => self.opened(hub, connection),
-            Notice::Bytes(connection, bytes) if self.guests.contains_key(&connection) => {
+            Notice::Bytes(connection, bytes) if self.connections.contains_key(&connection) => {
                 self.bytes(hub, is_ready, connection, &bytes);
             }
-            Notice::Flushed(connection) if self.guests.contains_key(&connection) => {
-                self.door.sign(now, slot(connection), Sign::Reads);
-                self.guests.entry(connection).and_modify(|guest| guest.stalled = None);
+            Notice::Flushed(connection) if self.connections.contains_key(&connection) => {
+                self.admission.sign(now, slot(connection), Sign::Reads);
+                self.connections.entry(connection).and_modify(|client| client.stalled = None);
             }
             Notice::Closed { connection, guest: true, .. } => {
                 // A connection rejected by admission control is closed too, and was never registered.
-                if let Some(guest) = self.guests.remove(&connection) {
-                    self.door.left(slot(connection));
+                if let Some(client) = self.connections.remove(&connection) {
+                    self.admission.left(slot(connection));
                     self.by_slot.remove(&slot(connection));
-                    guest.streams.values().for_each(|id| _ = self.ids.remove(id));
-                    self.asks.push_back(Ask::Left(connection));
+                    client.streams.values().for_each(|id| _ = self.ids.remove(id));
+                    self.events.push_back(ClientEvent::Left(connection));
                 }
             }
             other => return Some(other),
@@ -135,13 +135,13 @@
     fn opened(&mut self, hub: &mut Hub, connection: Connection) {
         // It is closed already; anything it sent is processed before its end.
         if hub.peer(connection).is_none() {
-            return hub.close(connection, "gone at the door");
+            return hub.close(connection, "closed before it was accepted");
         }
         // Clients connect through the platform's proxy layer, so their addresses don't identify them.
         let address = Ipv4Addr::UNSPECIFIED.into();
         let (now, by_slot) = (hub.clock().now(), &self.by_slot);
         let quiet = |slot| by_slot.get(&slot).is_none_or(|other| hub.is_quiet(*other));
-        match self.door.arrives(now, slot(connection), address, false, quiet) {
+        match self.admission.arrives(now, slot(connection), address, false, quiet) {
             Arrival::Welcome => {}
             Arrival::Instead(other) => {
                 let other = self.by_slot.get(&other).copied();
@@ -153,38 +153,40 @@
             }
         }
         let decoder = ClientDecoder::default();
-        let guest = Guest {
+        let client = Client {
             decoder,
             streams: HashMap::new(),
             unusable: 0,
             stalled: None,
             ending: false,
-            overdue: false,
+            timeout_extended: false,
         };
-        self.guests.insert(connection, guest);
+        self.connections.insert(connection, client);
         self.by_slot.insert(slot(connection), connection);
-        if self.leaving {
-            hub.write(connection, None, client::leaving);
+        if self.draining {
+            hub.write(connection, None, wire::leaving);
         }
     }
 
     fn bytes(&mut self, hub: &mut Hub, is_ready: bool, connection: Connection, bytes: &[u8]) {
-        let (now, came) = (hub.clock().now(), hub.came());
-        let Some(guest) = self.guests.get_mut(&connection) else { return };
-        guest.decoder.push(bytes);
+        let (now, received) = (hub.clock().now(), hub.came());
+        let Some(client) = self.connections.get_mut(&connection) else { return };
+        client.decoder.push(bytes);
         loop {
-            let Some(guest) = self.guests.get_mut(&connection).filter(|guest| !guest.ending) else { return };
-            match guest.decoder.decode() {
+            let Some(client) = self.connections.get_mut(&connection).filter(|client| !client.ending) else {
+                return;
+            };
+            match client.decoder.decode() {
                 Ok(None) => {
-                    let held = guest.decoder.midway();
-                    return self.door.sign(now, slot(connection), Sign::Heard(held));
+                    let held = client.decoder.midway();
+                    return self.admission.sign(now, slot(connection), Sign::Heard(held));
                 }
                 Ok(Some(frame)) => {
-                    guest.overdue = false;
-                    self.door.whole(now, slot(connection));
-                    self.frame(hub, is_ready, connection, came, frame);
+                    client.timeout_extended = false;
+                    self.admission.whole(now, slot(connection));
+                    self.frame(hub, is_ready, connection, received, frame);
                 }
-                Err(error) => return self.end(hub, connection, &error.to_string()),
+                Err(error) => return self.protocol_error(hub, connection, &error.to_string()),
             }
         }
     }
@@ -194,40 +196,40 @@
         hub: &mut Hub,
         is_ready: bool,
         connection: Connection,
-        came: Micros,
+        received: Micros,
         frame: FromClient,
     ) {
-        let Some(guest) = self.guests.get_mut(&connection) else { return };
+        let Some(client) = self.connections.get_mut(&connection) else { return };
         match frame {
             FromClient::Ready(stream) => {
-                hub.write(connection, None, |out| client::ready(out, stream, is_ready));
-                self.door.asks(hub.clock().now(), slot(connection), "");
-                self.door.answered(hub.clock().now(), slot(connection));
-                self.watch_backlog(hub, connection);
+                hub.write(connection, None, |out| wire::ready(out, stream, is_ready));
+                self.admission.asks(hub.clock().now(), slot(connection), "");
+                self.admission.answered(hub.clock().now(), slot(connection));
+                self.check_backlog(hub, connection);
             }
             FromClient::TakenBack(stream) => {
-                if let Some(id) = guest.streams.remove(&stream) {
+                if let Some(id) = client.streams.remove(&stream) {
                     self.ids.remove(&id);
-                    self.door.called_off(hub.clock().now(), slot(connection));
-                    self.asks.push_back(Ask::TakenBack(connection, stream));
+                    self.admission.called_off(hub.clock().now(), slot(connection));
+                    self.events.push_back(ClientEvent::Canceled(connection, stream));
                 }
             }
-            FromClient::Request(stream, _) if guest.streams.contains_key(&stream) => {
-                self.end(hub, connection, "a stream with two requests");
+            FromClient::Request(stream, _) if client.streams.contains_key(&stream) => {
+                self.protocol_error(hub, connection, "two requests on one stream");
             }
             FromClient::Request(stream, Err(why)) => {
                 tracing::debug!(connection, stream, %why, "unusable");
-                guest.unusable += 1;
-                let often = guest.unusable >= UNUSABLE;
-                self.turn_away(hub, connection, stream, "unusable");
+                client.unusable += 1;
+                let often = client.unusable >= MAX_UNUSABLE;
+                self.reject(hub, connection, stream, "unusable");
                 if often {
-                    self.end(hub, connection, "requests that can't be used");
+                    self.protocol_error(hub, connection, "too many unusable requests");
                 }
             }
             FromClient::Request(stream, Ok(request)) => {
-                let why = if guest.stalled.is_some() {
+                let why = if client.stalled.is_some() {
                     Some("does-not-read")
-                } else if guest.streams.len() >= PER_CONNECTION {
+                } else if client.streams.len() >= REQUESTS_PER_CONNECTION {
                     Some("connection-full")
                 } else if self.ids.contains(&request.id) {
                     Some("id-in-use")
@@ -235,41 +237,43 @@
                     None
                 };
                 if let Some(why) = why {
-                    return self.turn_away(hub, connection, stream, why);
+                    return self.reject(hub, connection, stream, why);
                 }
-                guest.streams.insert(stream, request.id.clone());
+                client.streams.insert(stream, request.id.clone());
                 self.ids.insert(request.id.clone());
-                self.door.asks(hub.clock().now(), slot(connection), "");
-                self.asks.push_back(Ask::Request(connection, stream, came, request));
+                self.admission.asks(hub.clock().now(), slot(connection), "");
+                self.events.push_back(ClientEvent::Request(connection, stream, received, request));
             }
         }
     }
 
     /// Rejects a request that was never accepted: nothing ran.
-    fn turn_away(&mut self, hub: &mut Hub, connection: Connection, stream: u32, why: &'static str) {
-        *self.turned_away.entry(why).or_insert(0) += 1;
-        hub.write(connection, None, |out| client::answer(out, stream, Code::Refused, None, &[]));
-        self.watch_backlog(hub, connection);
+    fn reject(&mut self, hub: &mut Hub, connection: Connection, stream: u32, why: &'static str) {
+        *self.rejected.entry(why).or_insert(0) += 1;
+        hub.write(connection, None, |out| wire::answer(out, stream, Code::Refused, None, &[]));
+        self.check_backlog(hub, connection);
     }
 
     /// Reports a protocol error. Pending answers are still sent. Further input is read, to see the end of the
     /// connection, but ignored.
-    fn end(&mut self, hub: &mut Hub, connection: Connection, why: &str) {
-        let Some(guest) = self.guests.get_mut(&connection).filter(|guest| !guest.ending) else { return };
-        tracing::debug!(connection, why, "a client's connection ends");
-        hub.write(connection, None, |out| client::answer(out, 0, Code::Failed, None, why.as_bytes()));
-        guest.ending = true;
-        if guest.streams.is_empty() {
+    fn protocol_error(&mut self, hub: &mut Hub, connection: Connection, why: &str) {
+        let Some(client) = self.connections.get_mut(&connection).filter(|client| !client.ending) else {
+            return;
+        };
+        tracing::debug!(connection, why, "protocol error on a client connection");
+        hub.write(connection, None, |out| wire::answer(out, 0, Code::Failed, None, why.as_bytes()));
+        client.ending = true;
+        if client.streams.is_empty() {
             hub.finish(connection);
         }
     }
 
     /// Marks a stream as answered.
-    fn settle(&mut self, hub: &mut Hub, connection: Connection, stream: u32) -> bool {
-        let Some(guest) = self.guests.get_mut(&connection) else { return false };
-        let Some(id) = guest.streams.remove(&stream) else { return false };
+    fn mark_answered(&mut self, hub: &mut Hub, connection: Connection, stream: u32) -> bool {
+        let Some(client) = self.connections.get_mut(&connection) else { return false };
+        let Some(id) = client.streams.remove(&stream) else { return false };
         self.ids.remove(&id);
-        self.door.answered(hub.clock().now(), slot(connection));
+        self.admission.answered(hub.clock().now(), slot(connection));
         true
     }
 
@@ -283,15 +287,18 @@
         after: Option<u64>,
         body: &[u8],
     ) {
-        if !self.settle(hub, connection, stream) {
+        if !self.mark_answered(hub, connection, stream) {
             return;
         }
-        hub.write(connection, None, |out| client::answer(out, stream, code, after, body));
-        let done = self.guests.get(&connection).is_some_and(|guest| guest.ending && guest.streams.is_empty());
+        hub.write(connection, None, |out| wire::answer(out, stream, code, after, body));
+        let done = self
+            .connections
+            .get(&connection)
+            .is_some_and(|client| client.ending && client.streams.is_empty());
         if done {
             hub.finish(connection);
         }
-        self.watch_backlog(hub, connection);
+        self.check_backlog(hub, connection);
     }
 
     /// Closes a client connection. With unanswered requests, only a client that doesn't read may be closed;
@@ -299,103 +306,105 @@
     fn close(&mut self, hub: &mut Hub, connection: Connection, why: &'static str) {
         tracing::debug!(connection, why, "closed");
         let owed = self
-            .guests
+            .connections
             .get(&connection)
-            .filter(|guest| guest.stalled.is_none())
-            .map(|guest| guest.streams.len());
-        if let Some(owed) = owed.filter(|owed| *owed > 0 && why != UNREAD_FOR_LONG) {
+            .filter(|client| client.stalled.is_none())
+            .map(|client| client.streams.len());
+        if let Some(owed) = owed.filter(|owed| *owed > 0 && why != NOT_READING) {
             self.closed_owed += 1;
             tracing::error!(connection, why, owed, "closed against a rule");
         }
         hub.close(connection, why);
     }
 
-    fn watch_backlog(&mut self, hub: &mut Hub, connection: Connection) {
+    fn check_backlog(&mut self, hub: &mut Hub, connection: Connection) {
         let backlog = hub.backlog(connection);
-        let Some(guest) = self.guests.get_mut(&connection).filter(|_| backlog > BACKLOG) else { return };
-        let (_, asked) = guest.stalled.get_or_insert((backlog, 0));
+        let Some(client) = self.connections.get_mut(&connection).filter(|_| backlog > MAX_BACKLOG) else {
+            return;
+        };
+        let (_, asked) = client.stalled.get_or_insert((backlog, 0));
         *asked += 1;
-        if *asked > UNREAD {
-            guest.ending = true;
-            return self.close(hub, connection, UNREAD_FOR_LONG);
+        if *asked > MAX_UNREAD {
+            client.ending = true;
+            return self.close(hub, connection, NOT_READING);
         }
         hub.tell_flushed(connection);
-        self.door.sign(hub.clock().now(), slot(connection), Sign::Stalled);
+        self.admission.sign(hub.clock().now(), slot(connection), Sign::Stalled);
     }
 
     /// Handles a timeout of a connection. Input that arrived by now is processed first.
-    fn time_is_up(&mut self, hub: &mut Hub, connection: Connection, why: &'static str) {
+    fn handle_timeout(&mut self, hub: &mut Hub, connection: Connection, why: &'static str) {
         let (now, slot) = (hub.clock().now(), slot(connection));
         let unread: usize = self.stalled().map(|(connection, _)| hub.backlog(connection)).sum();
-        let Some(guest) = self.guests.get_mut(&connection) else { return };
+        let Some(client) = self.connections.get_mut(&connection) else { return };
         let backlog = hub.backlog(connection);
-        match (&mut guest.stalled, why) {
+        match (&mut client.stalled, why) {
             // It reads slowly, or has open requests, which have their own timeouts: restart the timeout.
             (Some((before, _)), _)
-                if (backlog < *before || !guest.streams.is_empty()) && unread <= self.most_unread =>
+                if (backlog < *before || !client.streams.is_empty()) && unread <= self.max_total_backlog =>
             {
                 *before = backlog;
-                self.door.sign(now, slot, Sign::Stalled);
+                self.admission.sign(now, slot, Sign::Stalled);
             }
             (None, "half-sent" | "half-bytes" | "half-many")
-                if !guest.overdue && !hub.is_quiet(connection) =>
+                if !client.timeout_extended && !hub.is_quiet(connection) =>
             {
-                guest.overdue = true;
-                self.door.sign(now, slot, Sign::Heard(guest.decoder.midway()));
+                client.timeout_extended = true;
+                self.admission.sign(now, slot, Sign::Heard(client.decoder.midway()));
             }
             // Open requests are still answered.
-            (None, "half-sent" | "half-bytes" | "half-many") if !guest.streams.is_empty() => {
-                self.door.sign(now, slot, Sign::Heard(0));
-                self.end(hub, connection, why);
+            (None, "half-sent" | "half-bytes" | "half-many") if !client.streams.is_empty() => {
+                self.admission.sign(now, slot, Sign::Heard(0));
+                self.protocol_error(hub, connection, why);
             }
             (None, "half-sent" | "half-bytes" | "half-many") => {
                 self.close(hub, connection, why);
             }
-            (None, _) if !hub.is_quiet(connection) => self.door.sign(now, slot, Sign::Heard(0)),
+            (None, _) if !hub.is_quiet(connection) => self.admission.sign(now, slot, Sign::Heard(0)),
             _ => {
                 self.close(hub, connection, why);
             }
         }
     }
 
-    fn stalled(&self) -> impl Iterator<Item = (Connection, &Guest)> {
-        let all = self.guests.iter().map(|(connection, guest)| (*connection, guest));
-        all.filter(|(_, guest)| guest.stalled.is_some())
+    fn stalled(&self) -> impl Iterator<Item = (Connection, &Client)> {
+        let all = self.connections.iter().map(|(connection, client)| (*connection, client));
+        all.filter(|(_, client)| client.stalled.is_some())
     }
 
     /// Closes all connections without pending work, each once its input is processed and its output is
     /// written. True when none is left.
-    pub fn finish_all(&mut self, hub: &mut Hub) -> bool {
-        for (connection, guest) in &mut self.guests {
-            if !guest.ending && hub.backlog(*connection) == 0 && hub.is_quiet(*connection) {
-                guest.ending = true;
+    pub fn close_idle(&mut self, hub: &mut Hub) -> bool {
+        for (connection, client) in &mut self.connections {
+            if !client.ending && hub.backlog(*connection) == 0 && hub.is_quiet(*connection) {
+                client.ending = true;
                 hub.finish(*connection);
             }
         }
-        self.guests.is_empty()
+        self.connections.is_empty()
     }
 
     /// Applies due admission timeouts, and pauses or resumes accepting.
     pub fn tick(&mut self, hub: &mut Hub) {
         let now = hub.clock().now();
-        while let Some(act) = self.door.act(now) {
+        while let Some(act) = self.admission.act(now) {
             if let Act::Close(slot, why) = act
                 && let Some(connection) = self.by_slot.get(&slot)
             {
-                self.time_is_up(hub, *connection, why);
+                self.handle_timeout(hub, *connection, why);
             }
         }
-        let room = self.door.may_accept(now).is_ok();
-        if room {
-            hub.accept_at_once(self.places.saturating_sub(self.door.here()));
+        let has_capacity = self.admission.may_accept(now).is_ok();
+        if has_capacity {
+            hub.accept_at_once(self.max_connections.saturating_sub(self.admission.here()));
         }
-        if std::mem::replace(&mut self.listening, room) != room {
-            hub.pause_listening(!room);
+        if std::mem::replace(&mut self.listening, has_capacity) != has_capacity {
+            hub.pause_listening(!has_capacity);
         }
     }
 
-    /// Latest time for the next [`Front::tick`].
+    /// Latest time for the next [`ClientConnections::tick`].
     pub fn next_due(&self, now: Micros) -> Option<Micros> {
-        self.door.next_due(now).into_iter().chain(self.door.may_accept(now).err()).min()
+        self.admission.next_due(now).into_iter().chain(self.admission.may_accept(now).err()).min()
     }
 }
--- a/crates/platform/src/hosts.rs
+++ b/crates/platform/src/hosts.rs
@@ -16,52 +16,57 @@
 
 /// What an id or tag on a connection refers to.
 #[derive(Clone, Copy, Debug)]
-enum Name {
-    Attempt(Sending),
+enum Outstanding {
+    Attempt(SentAttempt),
     Order(u64),
     /// A health probe sent at this time.
     Probe(Micros),
     /// Answered or canceled; until this time, an answer to it may still arrive and is ignored.
-    Over(Micros),
+    Done(Micros),
 }
 
 /// An attempt sent on a connection.
 #[derive(Clone, Copy, Debug)]
-struct Sending {
+struct SentAttempt {
     number: u64,
     sent: Micros,
     /// How long after its end no other attempt with the same id may use the connection.
-    late: Micros,
+    duplicate_window: Micros,
     is_repeatable: bool,
 }
 
 /// Close reason when the host has only part of an attempt and must not get the rest.
-const CUT_SHORT: &str = "cut short";
+const PARTIAL_SEND: &str = "closed to stop a partly sent attempt";
 
 /// A connection to a host.
-struct Line {
+struct HostConnection {
     decoder: HostDecoder,
-    names: HashMap<String, Name>,
-    opened: Micros,
-    heard: Micros,
+    outstanding: HashMap<String, Outstanding>,
+    opened_at: Micros,
+    last_received: Micros,
 }
 
-impl Line {
+impl HostConnection {
     fn new(now: Micros) -> Self {
-        Self { decoder: HostDecoder::default(), names: HashMap::new(), opened: now, heard: now }
+        Self {
+            decoder: HostDecoder::default(),
+            outstanding: HashMap::new(),
+            opened_at: now,
+            last_received: now,
+        }
     }
 }
 
 /// The endpoint of a listed host.
 #[derive(Clone, Copy, Debug)]
-struct Place {
+struct Endpoint {
     address: SocketAddr,
     started: Micros,
 }
 
 /// How long after an answer a duplicate of it may still arrive.
 #[derive(Clone, Copy, Debug)]
-pub struct Late {
+pub struct DuplicateWindows {
     /// For calls that must not run twice: as long as any of them may last.
     pub unsafe_calls: Micros,
     /// For other calls: mistaking a duplicate costs an attempt, avoiding it costs another connection.
@@ -80,15 +85,15 @@
 }
 
 /// Minimum interval between requested probes of a host.
-const ASK_AGAIN: Micros = 250_000;
+const MIN_PROBE_INTERVAL: Micros = 250_000;
 
 /// Counters since the start.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct HostCounts {
     /// Connections closed because of a malformed answer.
-    pub spoilt: u64,
+    pub malformed: u64,
     /// Unexpected answers: duplicates, unknown ids, or answers to canceled requests.
-    pub unasked: u64,
+    pub unexpected: u64,
 }
 
 /// Connections to all hosts.
@@ -96,30 +101,30 @@
     carriers: Carriers,
     limits: CarrierLimits,
     /// Connection limit over all hosts.
-    most: usize,
-    late: Late,
-    lines: HashMap<Connection, Line>,
-    places: HashMap<WorkerId, Place>,
+    max_connections: usize,
+    duplicate_windows: DuplicateWindows,
+    connections_by_id: HashMap<Connection, HostConnection>,
+    endpoints: HashMap<WorkerId, Endpoint>,
     /// Connection and id or tag of each attempt and order in flight.
-    out: HashMap<u64, (Connection, String)>,
+    in_flight: HashMap<u64, (Connection, String)>,
     next_probe: u64,
     /// When a probe of each host was last requested.
-    asked: HashMap<WorkerId, Micros>,
+    probe_requests: HashMap<WorkerId, Micros>,
     pub counts: HostCounts,
 }
 
 impl Hosts {
-    pub fn new(limits: CarrierLimits, most: usize, late: Late) -> Self {
+    pub fn new(limits: CarrierLimits, max_connections: usize, duplicate_windows: DuplicateWindows) -> Self {
         Self {
             carriers: Carriers::default(),
             limits,
-            most,
-            late,
-            lines: HashMap::new(),
-            places: HashMap::new(),
-            out: HashMap::new(),
+            max_connections,
+            duplicate_windows,
+            connections_by_id: HashMap::new(),
+            endpoints: HashMap::new(),
+            in_flight: HashMap::new(),
             next_probe: 0,
-            asked: HashMap::new(),
+            probe_requests: HashMap::new(),
             counts: HostCounts::default(),
         }
     }
@@ -130,25 +135,25 @@
 
     /// Applies a complete host list. Returns the ends of unsent attempts and orders to hosts that drain or
     /// were removed.
-    pub fn take_list(&mut self, hub: &mut Hub, listed: &[Listed]) -> Vec<Input> {
+    pub fn apply_list(&mut self, hub: &mut Hub, listed: &[Listed]) -> Vec<Input> {
         let mut ended = Vec::new();
-        let named = |id: &WorkerId| listed.iter().any(|host| *host.id == *id.0);
-        let gone: Vec<_> = self.places.keys().filter(|id| !named(id)).cloned().collect();
-        gone.iter().for_each(|id| ended.extend(self.gone(hub, id)));
+        let is_listed = |id: &WorkerId| listed.iter().any(|host| *host.id == *id.0);
+        let removed: Vec<_> = self.endpoints.keys().filter(|id| !is_listed(id)).cloned().collect();
+        removed.iter().for_each(|id| ended.extend(self.remove_host(hub, id)));
         for host in listed {
             let id = WorkerId::from(host.id.as_str());
             let address = host.address.parse::<SocketAddr>();
             let Ok(address) = address.inspect_err(|_| {
-                tracing::warn!(host = %id, address = %host.address, "the list gives no usable address");
+                tracing::warn!(host = %id, address = %host.address, "no usable address of a host in the list");
             }) else {
                 continue;
             };
             if host.standing == Standing::Out {
-                ended.extend(self.gone(hub, &id));
+                ended.extend(self.remove_host(hub, &id));
                 continue;
             }
-            let place = Place { address, started: host.started };
-            let before = self.places.insert(id.clone(), place);
+            let endpoint = Endpoint { address, started: host.started };
+            let before = self.endpoints.insert(id.clone(), endpoint);
             if host.standing == Standing::Draining {
                 ended.extend(self.withdraw_all(hub, &id));
             }
@@ -162,9 +167,9 @@
         ended
     }
 
-    fn gone(&mut self, hub: &mut Hub, id: &WorkerId) -> Vec<Input> {
-        self.places.remove(id);
-        self.asked.remove(id);
+    fn remove_host(&mut self, hub: &mut Hub, id: &WorkerId) -> Vec<Input> {
+        self.endpoints.remove(id);
+        self.probe_requests.remove(id);
         let ended = self.withdraw_all(hub, id);
         self.carriers.all_leaving(id);
         ended
@@ -172,58 +177,80 @@
 
     /// The host restarted: connections opened before that are closed, as nothing else may report their end.
     fn close_older(&mut self, hub: &mut Hub, id: &WorkerId, started: Micros) {
-        let older = |connection: &Connection, line: &Line| {
-            line.opened < started && self.carriers.worker(*connection).as_ref() == Some(id)
+        let older = |connection: &Connection, connection_state: &HostConnection| {
+            connection_state.opened_at < started && self.carriers.worker(*connection).as_ref() == Some(id)
         };
-        let older: Vec<_> = self.lines.iter().filter(|(c, line)| older(c, line)).map(|(c, _)| *c).collect();
+        let older: Vec<_> = self
+            .connections_by_id
+            .iter()
+            .filter(|(c, connection_state)| older(c, connection_state))
+            .map(|(c, _)| *c)
+            .collect();
         older.into_iter().for_each(|connection| hub.close(connection, "another process"));
     }
 
-    fn hand(
+    fn dispatch(
         &mut self,
         hub: &mut Hub,
         worker: &WorkerId,
-        (cargo, name): (Cargo, Name),
+        (cargo, item): (Cargo, Outstanding),
         id: &str,
         frame: impl FnOnce(&mut Vec<u8>),
     ) -> Option<Connection> {
-        let place = self.places.get(worker)?;
+        let endpoint = self.endpoints.get(worker)?;
         let mut limits = self.limits;
-        if self.carriers.connections() >= self.most {
+        if self.carriers.connections() >= self.max_connections {
             // At the limit, open connections are shared; a host without one has to wait for a free
             // connection.
             limits.connections = 0;
         }
-        let (now, lines) = (hub.clock().now(), &self.lines);
-        let is_over = |name: &Name| matches!(name, Name::Over(until) if *until <= now);
-        let name_of = |connection| lines.get(&connection).and_then(|line: &Line| line.names.get(id));
-        let usable = |connection| name_of(connection).is_none_or(is_over);
-        let to = (worker, place.address);
+        let (now, connections_by_id) = (hub.clock().now(), &self.connections_by_id);
+        let is_done = |item: &Outstanding| matches!(item, Outstanding::Done(until) if *until <= now);
+        let item_of = |connection| {
+            connections_by_id
+                .get(&connection)
+                .and_then(|connection_state: &HostConnection| connection_state.outstanding.get(id))
+        };
+        let usable = |connection| item_of(connection).is_none_or(is_done);
+        let to = (worker, endpoint.address);
         let connection = self.carriers.give(hub, &limits, to, (cargo, frame), usable, |_| {})?;
-        self.lines.entry(connection).or_insert_with(|| Line::new(now)).names.insert(id.to_owned(), name);
+        self.connections_by_id
+            .entry(connection)
+            .or_insert_with(|| HostConnection::new(now))
+            .outstanding
+            .insert(id.to_owned(), item);
         Some(connection)
     }
 
     /// Sends an attempt to its host; returns how it ended if it can't be sent.
     pub fn run(&mut self, hub: &mut Hub, attempt: &Attempt) -> Option<Input> {
         let call = &attempt.call;
-        let patience = (attempt.timeout.min(attempt.time_left) / 1_000).max(1);
-        let late = if attempt.is_repeatable { self.late.others } else { self.late.unsafe_calls };
+        let timeout_ms = (attempt.timeout.min(attempt.time_left) / 1_000).max(1);
+        let duplicate_window = if attempt.is_repeatable {
+            self.duplicate_windows.others
+        } else {
+            self.duplicate_windows.unsafe_calls
+        };
         let (number, is_repeatable) = (attempt.number, attempt.is_repeatable);
-        let name = Name::Attempt(Sending { number, sent: hub.clock().now(), late, is_repeatable });
+        let item = Outstanding::Attempt(SentAttempt {
+            number,
+            sent: hub.clock().now(),
+            duplicate_window,
+            is_repeatable,
+        });
         let cargo = Cargo::Attempt(attempt.number);
         let frame = |out: &mut Vec<u8>| {
             let (id, class, function, once) = (&call.trace, &call.class, &call.function, &call.key);
-            let (patience_ms, body) = (patience, &call.body);
+            let (patience_ms, body) = (timeout_ms, &call.body);
             host::invoke(out, &Invoke { id, class, function, once, patience_ms, body });
         };
-        match self.hand(hub, &attempt.worker, (cargo, name), &call.trace, frame) {
+        match self.dispatch(hub, &attempt.worker, (cargo, item), &call.trace, frame) {
             Some(connection) => {
-                self.out.insert(attempt.number, (connection, call.trace.clone()));
+                self.in_flight.insert(attempt.number, (connection, call.trace.clone()));
                 None
             }
             // The host is listed, but the local connection limit is reached: not a failure of the host.
-            None if self.places.contains_key(&attempt.worker) => {
+            None if self.endpoints.contains_key(&attempt.worker) => {
                 Some(ended(attempt.number, AttemptEnd::TakenBack))
             }
             None => Some(ended(attempt.number, AttemptEnd::NotConnected)),
@@ -231,13 +258,13 @@
     }
 
     /// Sends a prewarm order; returns how it ended if it can't be sent.
-    pub fn hold(&mut self, hub: &mut Hub, order: &Order) -> Option<Input> {
+    pub fn prewarm(&mut self, hub: &mut Hub, order: &Order) -> Option<Input> {
         let tag = format!("o{}", order.number);
-        let named = (Cargo::Order(order.number), Name::Order(order.number));
+        let tagged = (Cargo::Order(order.number), Outstanding::Order(order.number));
         let frame = |out: &mut Vec<u8>| host::prewarm(out, &tag, &order.function.0, order.count);
-        match self.hand(hub, &order.worker, named, &tag, frame) {
+        match self.dispatch(hub, &order.worker, tagged, &tag, frame) {
             Some(connection) => {
-                self.out.insert(order.number, (connection, tag));
+                self.in_flight.insert(order.number, (connection, tag));
                 None
             }
             None => Some(Input::OrderEnded(order.number, OrderEnd::NotConnected, 0)),
@@ -245,44 +272,44 @@
     }
 
     /// Whether an attempt or order is queued on a connection with no byte sent.
-    pub fn is_waiting(&self, hub: &Hub, number: u64) -> bool {
+    pub fn is_unsent(&self, hub: &Hub, number: u64) -> bool {
         self.carriers.is_waiting(hub, number)
     }
 
     /// Whether a byte of an attempt or order was sent on a connection that is still open.
-    pub fn has_left(&self, hub: &Hub, number: u64) -> bool {
-        let connection = self.out.get(&number).map(|(connection, _)| *connection);
+    pub fn has_sent_bytes(&self, hub: &Hub, number: u64) -> bool {
+        let connection = self.in_flight.get(&number).map(|(connection, _)| *connection);
         connection.is_some_and(|connection| {
             hub.is_open(connection) && hub.sent(connection, number) != Sent::Nothing
         })
     }
 
     /// Removes an attempt or order from its connection's queue; false if a byte was sent or it isn't queued.
-    pub fn take_off(&mut self, hub: &mut Hub, number: u64) -> bool {
+    pub fn unqueue(&mut self, hub: &mut Hub, number: u64) -> bool {
         let taken = self.carriers.withdraw(hub, number);
         if taken {
-            self.forget(number);
+            self.discard(number);
         }
         taken
     }
 
     /// Probes a host on an open connection, or opens one.
-    pub fn ask(&mut self, hub: &mut Hub, now: Micros, worker: &WorkerId) {
-        let Some(place) = self.places.get(worker).copied() else { return };
-        let last = self.asked.get(worker).copied();
-        if last.is_some_and(|last| last.saturating_add(ASK_AGAIN) > now) {
+    pub fn request_probe(&mut self, hub: &mut Hub, now: Micros, worker: &WorkerId) {
+        let Some(endpoint) = self.endpoints.get(worker).copied() else { return };
+        let last = self.probe_requests.get(worker).copied();
+        if last.is_some_and(|last| last.saturating_add(MIN_PROBE_INTERVAL) > now) {
             return;
         }
         if self.probe(hub, worker) {
-            self.asked.insert(worker.clone(), now);
+            self.probe_requests.insert(worker.clone(), now);
             return;
         }
         let mut limits = self.limits;
-        if self.carriers.connections() >= self.most {
+        if self.carriers.connections() >= self.max_connections {
             limits.connections = 0;
         }
-        if let Some(connection) = self.carriers.connect(hub, &limits, (worker, place.address), |_| {}) {
-            self.lines.insert(connection, Line::new(now));
+        if let Some(connection) = self.carriers.connect(hub, &limits, (worker, endpoint.address), |_| {}) {
+            self.connections_by_id.insert(connection, HostConnection::new(now));
         }
     }
 
@@ -295,33 +322,37 @@
     pub fn probe(&mut self, hub: &mut Hub, worker: &WorkerId) -> bool {
         self.next_probe += 1;
         let tag = format!("p{}", self.next_probe);
-        let told = self.carriers.tell(hub, worker, |out| host::alive(out, &tag));
-        let line = told.and_then(|connection| self.lines.get_mut(&connection));
-        let Some(line) = line else { return false };
-        line.names.insert(tag, Name::Probe(hub.clock().now()));
+        let outcome = self.carriers.tell(hub, worker, |out| host::alive(out, &tag));
+        let connection_state = outcome.and_then(|connection| self.connections_by_id.get_mut(&connection));
+        let Some(connection_state) = connection_state else { return false };
+        connection_state.outstanding.insert(tag, Outstanding::Probe(hub.clock().now()));
         true
     }
 
     /// Cancels an attempt if its host doesn't have all of it; true if so: the host never gets the rest.
     pub fn withdraw(&mut self, hub: &mut Hub, attempt: u64) -> bool {
         if self.carriers.withdraw(hub, attempt) {
-            self.forget(attempt);
+            self.discard(attempt);
             return true;
         }
-        self.cut_short(hub, attempt)
+        self.close_partial(hub, attempt)
     }
 
     /// Part of the attempt was sent, and the rest would follow when the host reads on: closes the connection,
     /// unless that would break a fully sent attempt that must not run twice.
-    fn cut_short(&mut self, hub: &mut Hub, attempt: u64) -> bool {
-        let Some((connection, _)) = self.out.get(&attempt) else { return false };
+    fn close_partial(&mut self, hub: &mut Hub, attempt: u64) -> bool {
+        let Some((connection, _)) = self.in_flight.get(&attempt) else { return false };
         let connection = *connection;
         if hub.sent(connection, attempt) != Sent::Part {
             return false;
         }
-        let names = self.lines.get(&connection).into_iter().flat_map(|line| line.names.values());
-        let must_stay = names.into_iter().any(|name| match name {
-            Name::Attempt(other) => {
+        let outstanding = self
+            .connections_by_id
+            .get(&connection)
+            .into_iter()
+            .flat_map(|connection_state| connection_state.outstanding.values());
+        let must_stay = outstanding.into_iter().any(|item| match item {
+            Outstanding::Attempt(other) => {
                 !other.is_repeatable
                     && other.number != attempt
                     && hub.sent(connection, other.number) == Sent::Whole
@@ -333,8 +364,8 @@
             return false;
         }
         self.carriers.done(hub, attempt);
-        self.forget(attempt);
-        hub.close(connection, CUT_SHORT);
+        self.discard(attempt);
+        hub.close(connection, PARTIAL_SEND);
         true
     }
 
@@ -343,31 +374,36 @@
         let ended = self.carriers.withdraw_all(hub, worker);
         for input in &ended {
             if let Input::AttemptEnded(number, ..) | Input::OrderEnded(number, ..) = input {
-                self.forget(*number);
+                self.discard(*number);
             }
         }
         ended
     }
 
     /// Drops an attempt or order that its host doesn't have, so that no answer can come.
-    fn forget(&mut self, number: u64) {
-        if let Some((connection, id)) = self.out.remove(&number) {
-            self.lines.get_mut(&connection).into_iter().for_each(|line| _ = line.names.remove(&id));
+    fn discard(&mut self, number: u64) {
+        if let Some((connection, id)) = self.in_flight.remove(&number) {
+            self.connections_by_id
+                .get_mut(&connection)
+                .into_iter()
+                .for_each(|connection_state| _ = connection_state.outstanding.remove(&id));
         }
     }
 
     /// Cancels an attempt, locally if possible, else with an abort command.
-    pub fn give_up(&mut self, hub: &mut Hub, attempt: u64) {
+    pub fn cancel(&mut self, hub: &mut Hub, attempt: u64) {
         if self.withdraw(hub, attempt) {
             return;
         }
-        let Some((connection, id)) = self.out.remove(&attempt) else { return };
+        let Some((connection, id)) = self.in_flight.remove(&attempt) else { return };
         tracing::debug!(connection, id, "abort");
         self.carriers.call_off(hub, attempt, |out| host::abort(out, &id));
-        let Some(line) = self.lines.get_mut(&connection) else { return };
-        if let Some(Name::Attempt(sending)) = line.names.get(&id).copied() {
-            line.names.insert(id, Name::Over(hub.clock().now() + sending.late));
-            if line.heard <= sending.sent {
+        let Some(connection_state) = self.connections_by_id.get_mut(&connection) else { return };
+        if let Some(Outstanding::Attempt(sent_attempt)) = connection_state.outstanding.get(&id).copied() {
+            connection_state
+                .outstanding
+                .insert(id, Outstanding::Done(hub.clock().now() + sent_attempt.duplicate_window));
+            if connection_state.last_received <= sent_attempt.sent {
                 // Nothing was received since it was sent: the host may have gone silently, so the connection
                 // isn't reused.
                 self.carriers.leaving(connection);
@@ -375,73 +411,78 @@
         }
     }
 
-    pub fn stands(&mut self, hub: &Hub, connection: Connection) {
+    pub fn connected(&mut self, hub: &Hub, connection: Connection) {
         self.carriers.stands(connection);
         let now = hub.clock().now();
-        self.lines.get_mut(&connection).into_iter().for_each(|line| line.heard = now);
+        self.connections_by_id
+            .get_mut(&connection)
+            .into_iter()
+            .for_each(|connection_state| connection_state.last_received = now);
     }
 
     pub fn host(&self, connection: Connection) -> Option<WorkerId> {
         self.carriers.worker(connection)
     }
 
-    pub fn is_ours(&self, connection: Connection) -> bool {
+    pub fn is_host_connection(&self, connection: Connection) -> bool {
         self.carriers.is_ours(connection)
     }
 
     /// Processes bytes from a host; returns what they ended.
-    pub fn bytes(&mut self, hub: &mut Hub, connection: Connection, bytes: &[u8]) -> Vec<Input> {
+    pub fn receive(&mut self, hub: &mut Hub, connection: Connection, bytes: &[u8]) -> Vec<Input> {
         let mut ended = Vec::new();
         let now = hub.clock().now();
-        let Some(line) = self.lines.get_mut(&connection) else { return ended };
-        line.heard = now;
-        line.decoder.push(bytes);
+        let Some(connection_state) = self.connections_by_id.get_mut(&connection) else { return ended };
+        connection_state.last_received = now;
+        connection_state.decoder.push(bytes);
         loop {
-            let Some(line) = self.lines.get_mut(&connection) else { return ended };
-            let answer = match line.decoder.decode() {
+            let Some(connection_state) = self.connections_by_id.get_mut(&connection) else { return ended };
+            let answer = match connection_state.decoder.decode() {
                 Ok(None) => return ended,
                 Ok(Some(answer)) => answer,
                 Err(error) => {
-                    self.spoilt(hub, connection, &error.to_string());
+                    self.close_malformed(hub, connection, &error.to_string());
                     return ended;
                 }
             };
-            match line.names.get(&answer.id).copied() {
-                None | Some(Name::Over(_)) => self.counts.unasked += 1,
-                Some(Name::Probe(asked)) => {
-                    line.names.remove(&answer.id);
+            match connection_state.outstanding.get(&answer.id).copied() {
+                None | Some(Outstanding::Done(_)) => self.counts.unexpected += 1,
+                Some(Outstanding::Probe(asked)) => {
+                    connection_state.outstanding.remove(&answer.id);
                     let worker = self.carriers.worker(connection);
-                    ended.extend(worker.into_iter().flat_map(|worker| probed(worker, answer.word, asked)));
+                    ended.extend(
+                        worker.into_iter().flat_map(|worker| probe_outcome(worker, answer.word, asked)),
+                    );
                 }
-                Some(name @ (Name::Attempt(Sending { number, .. }) | Name::Order(number))) => {
-                    match told(name, answer) {
-                        Some((id, input)) => {
-                            match name {
-                                Name::Attempt(sending) => {
-                                    line.names.insert(id, Name::Over(now + sending.late))
-                                }
-                                _ => line.names.remove(&id),
-                            };
-                            self.carriers.done(hub, number);
-                            self.out.remove(&number);
-                            ended.push(input);
-                        }
-                        None => {
-                            self.spoilt(hub, connection, "a word that is no answer to this");
-                            return ended;
-                        }
+                Some(
+                    item @ (Outstanding::Attempt(SentAttempt { number, .. }) | Outstanding::Order(number)),
+                ) => match outcome(item, answer) {
+                    Some((id, input)) => {
+                        match item {
+                            Outstanding::Attempt(sent_attempt) => connection_state
+                                .outstanding
+                                .insert(id, Outstanding::Done(now + sent_attempt.duplicate_window)),
+                            _ => connection_state.outstanding.remove(&id),
+                        };
+                        self.carriers.done(hub, number);
+                        self.in_flight.remove(&number);
+                        ended.push(input);
                     }
-                }
+                    None => {
+                        self.close_malformed(hub, connection, "answer does not match the request");
+                        return ended;
+                    }
+                },
             }
         }
     }
 
     /// Closes a connection after a malformed answer; what is in flight on it may have run.
-    fn spoilt(&mut self, hub: &mut Hub, connection: Connection, why: &str) {
-        self.counts.spoilt += 1;
+    fn close_malformed(&mut self, hub: &mut Hub, connection: Connection, why: &str) {
+        self.counts.malformed += 1;
         let host = self.carriers.worker(connection);
-        tracing::info!(host = host.map(tracing::field::display), why, "a spoilt answer");
-        hub.close(connection, "a spoilt answer");
+        tracing::info!(host = host.map(tracing::field::display), why, "malformed answer from host");
+        hub.close(connection, "malformed answer from host");
     }
 
     /// Returns what the end of a connection ended. Hosts close connections without open requests in good
@@ -455,24 +496,26 @@
         unsent: &[u64],
         why: &str,
     ) -> Vec<Input> {
-        let opened = self.lines.remove(&connection).map(|line| line.opened);
+        let opened_at =
+            self.connections_by_id.remove(&connection).map(|connection_state| connection_state.opened_at);
         let sibling = self.carriers.has_sibling(connection);
-        let never_stood = never_stood && !opened.is_some_and(|opened| self.was_heard(connection, opened));
+        let never_stood =
+            never_stood && !opened_at.is_some_and(|opened_at| self.received_since(connection, opened_at));
         let mut ended = self.carriers.closed(connection, never_stood, unsent);
         let in_order = sibling
-            || why == CUT_SHORT
+            || why == PARTIAL_SEND
             || why == ENDED && !ended.iter().any(|input| matches!(input, Input::AttemptEnded(..)));
         for input in &mut ended {
             match input {
                 Input::AttemptEnded(number, end, ..) => {
-                    self.out.remove(number);
+                    self.in_flight.remove(number);
                     // The others on the closed connection may have run, but the host broke nothing.
-                    if why == CUT_SHORT && *end == AttemptEnd::Broken {
+                    if why == PARTIAL_SEND && *end == AttemptEnd::Broken {
                         *end = AttemptEnd::CutOff;
                     }
                 }
                 Input::OrderEnded(number, end, _) => {
-                    self.out.remove(number);
+                    self.in_flight.remove(number);
                     if in_order && *end == OrderEnd::Broken {
                         *end = OrderEnd::CutOff;
                     }
@@ -484,18 +527,22 @@
     }
 
     /// Whether anything was received from the same host since then, on any connection.
-    fn was_heard(&self, connection: Connection, since: Micros) -> bool {
+    fn received_since(&self, connection: Connection, since: Micros) -> bool {
         let host = self.carriers.worker(connection);
         let same = |other: &Connection| host.is_some() && self.carriers.worker(*other) == host;
-        self.lines.iter().any(|(other, line)| line.heard > since && same(other))
+        self.connections_by_id
+            .iter()
+            .any(|(other, connection_state)| connection_state.last_received > since && same(other))
     }
 
     /// Closes idle connections and forgets ids to which no answer can come any more.
-    pub fn tidy(&mut self, hub: &mut Hub) {
+    pub fn expire(&mut self, hub: &mut Hub) {
         self.carriers.close_idle(hub, self.limits.idle);
         let now = hub.clock().now();
-        for line in self.lines.values_mut() {
-            line.names.retain(|_, name| !matches!(name, Name::Over(until) if *until <= now));
+        for connection_state in self.connections_by_id.values_mut() {
+            connection_state
+                .outstanding
+                .retain(|_, item| !matches!(item, Outstanding::Done(until) if *until <= now));
         }
     }
 }
@@ -505,7 +552,7 @@
 }
 
 /// Interprets the answer to a probe. A draining host answers 'down' and completes what it has.
-fn probed(worker: WorkerId, word: Word, asked: Micros) -> Vec<Input> {
+fn probe_outcome(worker: WorkerId, word: Word, asked: Micros) -> Vec<Input> {
     let said = |serves| Input::WorkerSaid { worker: worker.clone(), serves, asked };
     match word {
         Word::Up => vec![said(true), Input::Probed(worker)],
@@ -515,9 +562,9 @@
 }
 
 /// Converts an answer for the engine and returns it with its id; `None` if it doesn't fit the request.
-fn told(name: Name, answer: HostAnswer) -> Option<(String, Input)> {
-    let input = match name {
-        Name::Attempt(Sending { number, .. }) => {
+fn outcome(item: Outstanding, answer: HostAnswer) -> Option<(String, Input)> {
+    let input = match item {
+        Outstanding::Attempt(SentAttempt { number, .. }) => {
             let ending = match answer.word {
                 Word::Ok => Ending::Ok,
                 Word::Miss if answer.load_failed => Ending::LoadFailed,
@@ -530,7 +577,7 @@
             let end = AttemptEnd::Answered(ending, answer.rivals);
             Input::AttemptEnded(number, end, answer.body, None)
         }
-        Name::Order(order) => {
+        Outstanding::Order(order) => {
             let ending = match answer.word {
                 Word::Ok => Ending::Ok,
                 Word::Busy => Ending::Full,
@@ -539,7 +586,7 @@
             };
             Input::OrderEnded(order, OrderEnd::Answered(ending), answer.instances)
         }
-        Name::Probe(_) | Name::Over(_) => return None,
+        Outstanding::Probe(_) | Outstanding::Done(_) => return None,
     };
     Some((answer.id, input))
 }
--- a/crates/platform/src/hosts/tests.rs
+++ b/crates/platform/src/hosts/tests.rs
@@ -52,36 +52,43 @@
 fn hosts(connections: usize) -> Hosts {
     let (wire, connect_timeout) = (Wire::Raw, SECOND);
     let limits = CarrierLimits { wire, connections, streams: 10, spread: 1, connect_timeout, idle: SECOND };
-    Hosts::new(limits, 10, Late { unsafe_calls: SECOND, others: SECOND })
+    Hosts::new(limits, 10, DuplicateWindows { unsafe_calls: SECOND, others: SECOND })
 }
 
 #[test]
-fn what_is_taken_back_as_its_host_drains_or_goes_leaves_nothing_behind() {
+fn cancellation_when_a_host_drains_or_leaves_clears_all_state() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     for after in [Standing::Draining, Standing::Out] {
         let mut hub = Hub::new(HubLimits::default()).unwrap();
         let mut hosts = hosts(2);
-        hosts.take_list(&mut hub, &[host(&listener, Standing::In)]);
+        hosts.apply_list(&mut hub, &[host(&listener, Standing::In)]);
         // The hub hasn't polled yet: the connection isn't established and no byte was sent.
         assert!(hosts.run(&mut hub, &attempt(1, Vec::new())).is_none());
-        let ended = hosts.take_list(&mut hub, &[host(&listener, after)]);
+        let ended = hosts.apply_list(&mut hub, &[host(&listener, after)]);
         assert!(matches!(ended[..], [Input::AttemptEnded(1, AttemptEnd::TakenBack, ..)]), "{ended:?}");
-        assert!(hosts.out.is_empty() && hosts.lines.values().all(|line| line.names.is_empty()), "{after:?}");
+        assert!(
+            hosts.in_flight.is_empty()
+                && hosts
+                    .connections_by_id
+                    .values()
+                    .all(|connection_state| connection_state.outstanding.is_empty()),
+            "{after:?}"
+        );
     }
 }
 
 #[test]
-fn others_on_a_connection_that_is_cut_short_are_not_held_against_its_host() {
+fn closing_a_partly_sent_attempt_does_not_count_against_the_host() {
     // More than the kernel buffers for a connection that isn't read.
     const LARGE: usize = 16 << 20;
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut hub = Hub::new(HubLimits::default()).unwrap();
     let mut hosts = hosts(1);
-    hosts.take_list(&mut hub, &[host(&listener, Standing::In)]);
+    hosts.apply_list(&mut hub, &[host(&listener, Standing::In)]);
     for (number, length) in [(1, 0), (2, LARGE), (3, 0)] {
         assert!(hosts.run(&mut hub, &attempt(number, vec![7; length])).is_none());
     }
-    let (connection, _) = hosts.out[&2];
+    let (connection, _) = hosts.in_flight[&2];
     let end = hub.clock().now() + 10 * SECOND;
     while hub.sent(connection, 2) != Sent::Part {
         assert!(hub.clock().now() < end, "no part of it left");
@@ -104,26 +111,26 @@
         .collect();
     // The first may have run, the third was unsent; neither end is the host's fault.
     assert_eq!(ends, [(1, AttemptEnd::CutOff), (3, AttemptEnd::NotWritten)]);
-    assert!(hosts.out.is_empty());
+    assert!(hosts.in_flight.is_empty());
 }
 
 #[test]
-fn tags_count_only_on_the_connection_that_they_were_given_on() {
+fn tags_are_matched_only_on_their_own_connection() {
     // Numbers of orders and probes restart with each process, so connections to two processes share tags.
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut hub = Hub::new(HubLimits::default()).unwrap();
     let mut hosts = hosts(2);
-    hosts.take_list(&mut hub, &[host(&listener, Standing::In)]);
+    hosts.apply_list(&mut hub, &[host(&listener, Standing::In)]);
     let order = Order { worker: "h".into(), number: 1, function: "7f3a9c21e0b4d655".into(), count: 1 };
-    assert!(hosts.hold(&mut hub, &order).is_none());
-    let (own, tag) = hosts.out[&1].clone();
+    assert!(hosts.prewarm(&mut hub, &order).is_none());
+    let (own, tag) = hosts.in_flight[&1].clone();
     let mut answer = Vec::new();
     host::encode_answer(&mut answer, &tag, "OK", "instances=1", b"");
     for number in [2, 3] {
         assert!(hosts.run(&mut hub, &attempt(number, Vec::new())).is_none());
     }
-    let other = [2, 3].map(|number| hosts.out[&number].0).into_iter().find(|other| *other != own);
-    assert!(hosts.bytes(&mut hub, other.expect("another connection"), &answer).is_empty());
-    assert_eq!(hosts.counts.unasked, 1);
-    assert!(matches!(hosts.bytes(&mut hub, own, &answer)[..], [Input::OrderEnded(1, ..)]));
+    let other = [2, 3].map(|number| hosts.in_flight[&number].0).into_iter().find(|other| *other != own);
+    assert!(hosts.receive(&mut hub, other.expect("another connection"), &answer).is_empty());
+    assert_eq!(hosts.counts.unexpected, 1);
+    assert!(matches!(hosts.receive(&mut hub, own, &answer)[..], [Input::OrderEnded(1, ..)]));
 }
--- a/crates/platform/src/lateness.rs
+++ b/crates/platform/src/lateness.rs
@@ -8,30 +8,30 @@
 /// The maximum over the current and the previous span of this length counts.
 const SPAN: Micros = 5_000_000;
 /// Upper limit of the margin, which shortens the time of each request.
-const MOST: Micros = 100_000;
+const MAX_MARGIN: Micros = 100_000;
 
 /// The maximum event-loop lag of the last two spans.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Lateness {
-    began: Micros,
-    worst: Micros,
-    before: Micros,
+pub struct LoopLag {
+    span_start: Micros,
+    current_max: Micros,
+    previous_max: Micros,
 }
 
-impl Lateness {
+impl LoopLag {
     /// Records that work due at `due` was started now.
-    pub fn saw(&mut self, now: Micros, due: Micros) {
-        if now.saturating_sub(self.began) >= SPAN {
-            let stale = now.saturating_sub(self.began) >= 2 * SPAN;
-            self.before = if stale { 0 } else { self.worst };
-            (self.began, self.worst) = (now, 0);
+    pub fn record(&mut self, now: Micros, due: Micros) {
+        if now.saturating_sub(self.span_start) >= SPAN {
+            let stale = now.saturating_sub(self.span_start) >= 2 * SPAN;
+            self.previous_max = if stale { 0 } else { self.current_max };
+            (self.span_start, self.current_max) = (now, 0);
         }
-        self.worst = self.worst.max(now.saturating_sub(due));
+        self.current_max = self.current_max.max(now.saturating_sub(due));
     }
 
     /// The margin: `least` plus twice the maximum lag, within the limit.
     pub fn margin(&self, least: Micros) -> Micros {
-        (least + 2 * self.worst.max(self.before)).min(MOST.max(least))
+        (least + 2 * self.current_max.max(self.previous_max)).min(MAX_MARGIN.max(least))
     }
 }
 
@@ -40,18 +40,18 @@
     use super::*;
 
     #[test]
-    fn the_margin_follows_the_worst_lateness_for_two_spans_and_has_a_bound() {
-        let mut lateness = Lateness::default();
-        assert_eq!(lateness.margin(10_000), 10_000);
-        lateness.saw(SPAN, SPAN - 20_000);
-        assert_eq!(lateness.margin(10_000), 50_000);
-        lateness.saw(2 * SPAN, 2 * SPAN - 1_000);
-        assert_eq!(lateness.margin(10_000), 50_000, "the span before still counts");
-        lateness.saw(3 * SPAN, 3 * SPAN);
-        assert_eq!(lateness.margin(10_000), 12_000);
-        lateness.saw(9 * SPAN, 9 * SPAN);
-        assert_eq!(lateness.margin(10_000), 10_000);
-        lateness.saw(9 * SPAN, 8 * SPAN);
-        assert_eq!(lateness.margin(10_000), MOST);
+    fn the_margin_follows_the_maximum_lag_of_two_spans_and_is_bounded() {
+        let mut loop_lag = LoopLag::default();
+        assert_eq!(loop_lag.margin(10_000), 10_000);
+        loop_lag.record(SPAN, SPAN - 20_000);
+        assert_eq!(loop_lag.margin(10_000), 50_000);
+        loop_lag.record(2 * SPAN, 2 * SPAN - 1_000);
+        assert_eq!(loop_lag.margin(10_000), 50_000, "the span before still counts");
+        loop_lag.record(3 * SPAN, 3 * SPAN);
+        assert_eq!(loop_lag.margin(10_000), 12_000);
+        loop_lag.record(9 * SPAN, 9 * SPAN);
+        assert_eq!(loop_lag.margin(10_000), 10_000);
+        loop_lag.record(9 * SPAN, 8 * SPAN);
+        assert_eq!(loop_lag.margin(10_000), MAX_MARGIN);
     }
 }
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -11,27 +11,27 @@
 use cresswheel_transport::{HubLimits, Wire};
 use rustix::process::{Resource, getrlimit};
 
-use crate::hosts::Late;
+use crate::hosts::DuplicateWindows;
 
-const S: Micros = 1_000_000;
-const MS: Micros = 1_000;
+const SECOND: Micros = 1_000_000;
+const MILLISECOND: Micros = 1_000;
 
 /// Maximum open requests per connection (protocol).
-pub const PER_CONNECTION: usize = 32;
+pub const REQUESTS_PER_CONNECTION: usize = 32;
 /// Idle timeout of host connections where the settings give none: assumed equal to that of clients.
-const IDLE_UNLESS_STATED: Micros = 4 * S;
+const DEFAULT_HOST_IDLE: Micros = 4 * SECOND;
 /// Descriptors for the event loop, listener, directory and logs, and one to refuse connections with.
-const OWN: usize = 24;
+const RESERVED_DESCRIPTORS: usize = 24;
 /// Minimum number of hosts to reserve descriptors for; a list may name more.
 const HOSTS_EXPECTED: usize = 16;
 /// Approximate maximum memory of an open request, with its body and answer.
 const REQUEST_BYTES: usize = 48 << 10;
 
 /// Timeout of an incomplete message while nothing of it arrives.
-const HALF_SILENT: Micros = 5 * S / 4;
+const PARTIAL_SILENT: Micros = 5 * SECOND / 4;
 /// Limits of the total timeout of an incomplete message, which is otherwise the longest client timeout.
-const HALF_AT_LEAST: Micros = 2 * HALF_SILENT;
-const HALF_AT_MOST: Micros = 10 * S;
+const MIN_PARTIAL: Micros = 2 * PARTIAL_SILENT;
+const MAX_PARTIAL: Micros = 10 * SECOND;
 
 /// Approximate memory per function in the decision module and the engine.
 const FUNCTION_BYTES: usize = 2 << 10;
@@ -56,15 +56,15 @@
     /// Connection limit over all hosts.
     pub host_connections: usize,
     /// How long after an answer a duplicate of it may arrive.
-    pub late: Late,
+    pub duplicate_windows: DuplicateWindows,
     /// Interval of the check for idle connections to hosts.
-    pub look: Micros,
+    pub idle_check: Micros,
     /// Limits of the event loop.
     pub hub: HubLimits,
     /// How long requests are accepted after TERM.
-    pub take_for: Micros,
+    pub accept_after_term: Micros,
     /// Deadline for open requests after TERM.
-    pub stop_within: Micros,
+    pub stop_timeout: Micros,
 }
 
 impl PlatformSettings {
@@ -72,18 +72,18 @@
     pub fn of(config: &Config) -> Result<Self, ConfigError> {
         let pairs = config.pairs();
         let mut module = config.module()?;
-        let give_up = module.classes.iter().map(|class| class.give_up).max().unwrap_or(S);
-        let aim = module.classes.iter().map(|class| class.aim).min().unwrap_or(S);
+        let give_up = module.classes.iter().map(|class| class.give_up).max().unwrap_or(SECOND);
+        let aim = module.classes.iter().map(|class| class.aim).min().unwrap_or(SECOND);
         // A missing timeout is not zero: a connect that takes longer than the shortest latency objective is
         // of no use to a call, and no call waits longer for a load than for itself.
-        let unless_stated = |span: Micros, other: Micros| if span > 0 { span } else { other };
-        module.connect_timeout = unless_stated(module.connect_timeout, aim);
-        module.order_timeout = unless_stated(module.order_timeout, give_up);
+        let or_default = |span: Micros, default: Micros| if span > 0 { span } else { default };
+        module.connect_timeout = or_default(module.connect_timeout, aim);
+        module.order_timeout = or_default(module.order_timeout, give_up);
         let memory = (config.limits.memory_mb as usize) << 20;
-        let (clients, host_connections) = share(config.limits.sockets.min(descriptors_allowed()));
+        let (clients, host_connections) = split_descriptors(config.limits.sockets.min(descriptors_allowed()));
         let open_calls = pairs.or("limits.max_open", usize::MAX)?.min(memory / 4 / REQUEST_BYTES).max(64);
-        let idle_close: Micros = pairs.or("limits.idle_close", IDLE_UNLESS_STATED)?;
-        let answer_margin = (2 * module.tick).max(10 * MS);
+        let idle_close: Micros = pairs.or("limits.idle_close", DEFAULT_HOST_IDLE)?;
+        let answer_margin = (2 * module.tick).max(10 * MILLISECOND);
         let connect_timeout = module.connect_timeout;
         Ok(Self {
             name: config.name.clone(),
@@ -95,7 +95,7 @@
                 admission: AdmissionLimits {
                     open_calls,
                     open_bytes: memory / 4,
-                    per_connection: PER_CONNECTION,
+                    per_connection: REQUESTS_PER_CONNECTION,
                     functions: (memory / 8 / FUNCTION_BYTES).max(1_000),
                 },
                 results: ResultLimits { keep: 0, bytes: 0 },
@@ -106,32 +106,32 @@
             door: DoorLimits {
                 connections: clients,
                 accepts_per_s: 2_000,
-                evict_after: 200 * MS,
-                unasked: 5 * S / 4,
-                idle: 30 * S,
-                half: give_up.clamp(HALF_AT_LEAST, HALF_AT_MOST),
-                half_silent: HALF_SILENT,
+                evict_after: 200 * MILLISECOND,
+                unasked: 5 * SECOND / 4,
+                idle: 30 * SECOND,
+                half: give_up.clamp(MIN_PARTIAL, MAX_PARTIAL),
+                half_silent: PARTIAL_SILENT,
                 half_connections: (clients / 4).max(1),
                 half_bytes: memory / 8,
-                stall: 2 * S,
+                stall: 2 * SECOND,
                 pings_per_s: 0,
                 ..DoorLimits::default()
             },
             carriers: CarrierLimits {
                 wire: Wire::Raw,
                 connections: (host_connections / HOSTS_EXPECTED).clamp(1, 16),
-                streams: pairs.or("limits.max_streams", PER_CONNECTION)?,
+                streams: pairs.or("limits.max_streams", REQUESTS_PER_CONNECTION)?,
                 spread: 1,
                 connect_timeout,
                 idle: idle_close * 4 / 5,
             },
             host_connections,
-            late: Late { unsafe_calls: give_up, others: aim },
+            duplicate_windows: DuplicateWindows { unsafe_calls: give_up, others: aim },
             // Often enough that no connection is idle for as long as the host's timeout.
-            look: (idle_close / 10).clamp(20 * MS, 500 * MS),
+            idle_check: (idle_close / 10).clamp(20 * MILLISECOND, 500 * MILLISECOND),
             hub: HubLimits { out: 1 << 20, accepted: usize::MAX, ..HubLimits::default() },
-            take_for: 750 * MS,
-            stop_within: give_up.min(3 * S) + 300 * MS,
+            accept_after_term: 750 * MILLISECOND,
+            stop_timeout: give_up.min(3 * SECOND) + 300 * MILLISECOND,
         })
     }
 }
@@ -156,8 +156,8 @@
 
 /// Divides descriptors between clients and hosts. Clients normally use at most a third of all; the rest of
 /// their half absorbs bursts of hundreds of new connections.
-fn share(descriptors: usize) -> (usize, usize) {
-    let free = descriptors.saturating_sub(OWN);
+fn split_descriptors(descriptors: usize) -> (usize, usize) {
+    let free = descriptors.saturating_sub(RESERVED_DESCRIPTORS);
     let clients = free / 2;
     (clients.max(1), (free - clients).max(1))
 }
@@ -167,12 +167,12 @@
     use super::*;
 
     #[test]
-    fn descriptors_are_shared_out_and_never_more_than_there_are() {
+    fn descriptors_are_divided_within_the_limit() {
         for limit in [0, 30, 256, 1_024, 4_096] {
-            let (clients, hosts) = share(limit);
-            assert!(clients + hosts + OWN <= limit.max(OWN + 2));
+            let (clients, hosts) = split_descriptors(limit);
+            assert!(clients + hosts + RESERVED_DESCRIPTORS <= limit.max(RESERVED_DESCRIPTORS + 2));
         }
-        let (clients, hosts) = share(256);
+        let (clients, hosts) = split_descriptors(256);
         assert!(clients >= 256 / 3 && hosts / HOSTS_EXPECTED >= 7);
     }
 }
--- a/crates/platform/src/waiting.rs
+++ b/crates/platform/src/waiting.rs
@@ -2,45 +2,51 @@
 
 use std::collections::VecDeque;
 
-use crate::front::Ask;
+use crate::front::ClientEvent;
 
 /// With this many bytes of bodies deferred, the gateway goes on to start requests.
-const MOST_BYTES: usize = 2 << 20;
+const MAX_BYTES: usize = 2 << 20;
 
 /// Deferred requests in order of arrival, without those of clients that left.
 #[derive(Debug, Default)]
-pub struct Waiting {
-    requests: VecDeque<Ask>,
+pub struct DeferredRequests {
+    requests: VecDeque<ClientEvent>,
     bytes: usize,
 }
 
-impl Waiting {
+impl DeferredRequests {
     /// Defers a request. A cancellation or disconnect drops deferred requests and is returned, as it may also
     /// concern requests that were started before.
-    pub fn hear(&mut self, ask: Ask) -> Option<Ask> {
-        match ask {
-            Ask::Request(..) => {
-                self.bytes += body_bytes(&ask);
-                self.requests.push_back(ask);
+    pub fn push(&mut self, event: ClientEvent) -> Option<ClientEvent> {
+        match event {
+            ClientEvent::Request(..) => {
+                self.bytes += body_bytes(&event);
+                self.requests.push_back(event);
                 return None;
             }
-            Ask::TakenBack(connection, stream) => self.drop_all(|of, on| (of, on) == (connection, stream)),
-            Ask::Left(connection) => self.drop_all(|of, _| of == connection),
+            ClientEvent::Canceled(connection, stream) => {
+                self.drop_matching(|queued_connection, queued_stream| {
+                    (queued_connection, queued_stream) == (connection, stream)
+                })
+            }
+            ClientEvent::Left(connection) => {
+                self.drop_matching(|queued_connection, _| queued_connection == connection)
+            }
         }
-        Some(ask)
+        Some(event)
     }
 
-    fn drop_all(&mut self, gone: impl Fn(u64, u32) -> bool) {
-        let stays = |ask: &Ask| !matches!(ask, Ask::Request(of, on, ..) if gone(*of, *on));
+    fn drop_matching(&mut self, is_canceled: impl Fn(u64, u32) -> bool) {
+        let stays = |event: &ClientEvent| !matches!(event, ClientEvent::Request(queued_connection, queued_stream, ..) if is_canceled(*queued_connection, *queued_stream));
         self.requests.retain(stays);
         self.bytes = self.requests.iter().map(body_bytes).sum();
     }
 
     /// Takes the oldest request.
-    pub fn take(&mut self) -> Option<Ask> {
-        let ask = self.requests.pop_front()?;
-        self.bytes -= body_bytes(&ask);
-        Some(ask)
+    pub fn take(&mut self) -> Option<ClientEvent> {
+        let event = self.requests.pop_front()?;
+        self.bytes -= body_bytes(&event);
+        Some(event)
     }
 
     /// Whether no request is deferred.
@@ -50,14 +56,14 @@
 
     /// Whether the limit is reached.
     pub fn is_full(&self) -> bool {
-        self.bytes >= MOST_BYTES
+        self.bytes >= MAX_BYTES
     }
 }
 
-fn body_bytes(ask: &Ask) -> usize {
-    match ask {
-        Ask::Request(.., request) => request.body.len(),
-        Ask::TakenBack(..) | Ask::Left(_) => 0,
+fn body_bytes(event: &ClientEvent) -> usize {
+    match event {
+        ClientEvent::Request(.., request) => request.body.len(),
+        ClientEvent::Canceled(..) | ClientEvent::Left(_) => 0,
     }
 }
 
--- a/crates/platform/src/waiting/tests.rs
+++ b/crates/platform/src/waiting/tests.rs
@@ -5,7 +5,7 @@
 
 use super::*;
 
-fn request(connection: u64, stream: u32, bytes: usize) -> Ask {
+fn request(connection: u64, stream: u32, bytes: usize) -> ClientEvent {
     let request = Request {
         id: String::new(),
         class: String::new(),
@@ -17,40 +17,40 @@
         shape: Shape { memory_mb: 0, lanes: 0, load_time: 0, work: 0 },
         body: vec![0; bytes],
     };
-    Ask::Request(connection, stream, 0, request)
+    ClientEvent::Request(connection, stream, 0, request)
 }
 
-fn left(waiting: &mut Waiting) -> Vec<(u64, u32)> {
-    let name = |ask| match ask {
-        Ask::Request(connection, stream, ..) => (connection, stream),
+fn remaining(deferred: &mut DeferredRequests) -> Vec<(u64, u32)> {
+    let name = |event| match event {
+        ClientEvent::Request(connection, stream, ..) => (connection, stream),
         other => panic!("{other:?}"),
     };
-    std::iter::from_fn(|| waiting.take()).map(name).collect()
+    std::iter::from_fn(|| deferred.take()).map(name).collect()
 }
 
 #[test]
-fn a_request_whose_client_went_does_not_wait_and_a_stream_used_again_does() {
-    let mut waiting = Waiting::default();
+fn requests_of_departed_clients_are_dropped_and_reused_streams_are_kept() {
+    let mut deferred = DeferredRequests::default();
     for (connection, stream) in [(1, 1), (1, 2), (2, 1), (2, 2), (3, 1)] {
-        assert!(waiting.hear(request(connection, stream, 10)).is_none());
+        assert!(deferred.push(request(connection, stream, 10)).is_none());
     }
-    assert!(matches!(waiting.hear(Ask::TakenBack(1, 2)), Some(Ask::TakenBack(1, 2))));
-    assert!(matches!(waiting.hear(Ask::Left(2)), Some(Ask::Left(2))));
-    assert!(waiting.hear(request(1, 2, 10)).is_none());
-    assert_eq!(left(&mut waiting), [(1, 1), (3, 1), (1, 2)]);
-    assert!(waiting.is_empty() && waiting.bytes == 0);
+    assert!(matches!(deferred.push(ClientEvent::Canceled(1, 2)), Some(ClientEvent::Canceled(1, 2))));
+    assert!(matches!(deferred.push(ClientEvent::Left(2)), Some(ClientEvent::Left(2))));
+    assert!(deferred.push(request(1, 2, 10)).is_none());
+    assert_eq!(remaining(&mut deferred), [(1, 1), (3, 1), (1, 2)]);
+    assert!(deferred.is_empty() && deferred.bytes == 0);
 }
 
 #[test]
-fn bodies_that_wait_are_bounded() {
-    let mut waiting = Waiting::default();
+fn deferred_bodies_are_bounded() {
+    let mut deferred = DeferredRequests::default();
     for stream in 1.. {
-        waiting.hear(request(1, stream, 16 << 10));
-        if waiting.is_full() {
+        deferred.push(request(1, stream, 16 << 10));
+        if deferred.is_full() {
             break;
         }
     }
-    assert_eq!(waiting.bytes, MOST_BYTES);
-    waiting.hear(Ask::TakenBack(1, 7));
-    assert!(!waiting.is_full());
+    assert_eq!(deferred.bytes, MAX_BYTES);
+    deferred.push(ClientEvent::Canceled(1, 7));
+    assert!(!deferred.is_full());
 }
