--- a/crates/platform/src/departures.rs
+++ b/crates/platform/src/departures.rs
@@ -48,7 +48,7 @@
 }
 
 #[derive(Debug)]
-struct Unsent {
+struct PendingItem {
     item: Item,
     location: Location,
 }
@@ -56,40 +56,40 @@
 /// Unsent attempts and orders, by number.
 #[derive(Debug, Default)]
 pub struct UnsentItems {
-    unsent: BTreeMap<u64, Unsent>,
+    pending: BTreeMap<u64, PendingItem>,
 }
 
 impl UnsentItems {
     /// Records that an item was queued on a connection.
     pub fn queued(&mut self, now: Micros, number: u64, item: Item) {
-        self.unsent.insert(number, Unsent { item, location: Location::Queued(now) });
+        self.pending.insert(number, PendingItem { item, location: Location::Queued(now) });
     }
 
     /// Forgets an item if it is parked here, on no connection; true if it was.
     pub fn forget_parked(&mut self, number: u64) -> bool {
         let parked =
-            self.unsent.get(&number).is_some_and(|unsent| matches!(unsent.location, Location::Parked(_)));
+            self.pending.get(&number).is_some_and(|pending| matches!(pending.location, Location::Parked(_)));
         if parked {
-            self.unsent.remove(&number);
+            self.pending.remove(&number);
         }
         parked
     }
 
     /// When [`UnsentItems::recheck`] should run next if nothing else happens.
     pub fn next_due(&self, now: Micros) -> Option<Micros> {
-        let parked = self.unsent.values().any(|unsent| matches!(unsent.location, Location::Parked(_)));
+        let parked = self.pending.values().any(|pending| matches!(pending.location, Location::Parked(_)));
         parked.then_some(now + PARKED_POLL_INTERVAL)
     }
 
     /// Reports to the engine what was sent by the hub's last write, which ended at that time, and forgets it.
     pub fn after_write(&mut self, at: Micros, hub: &Hub, hosts: &Hosts, engine: &mut Engine) {
-        self.unsent.retain(|number, unsent| {
-            if matches!(unsent.location, Location::Parked(_)) || hosts.is_unsent(hub, *number) {
+        self.pending.retain(|number, pending| {
+            if matches!(pending.location, Location::Parked(_)) || hosts.is_unsent(hub, *number) {
                 return true;
             }
             let violated = hosts.has_sent_bytes(hub, *number).then(|| engine.departed(at, *number)).flatten();
             if let Some(rule) = violated {
-                tracing::error!(number, worker = %unsent.item.worker(), rule, "left against a rule");
+                tracing::error!(number, worker = %pending.item.worker(), rule, "left against a rule");
             }
             false
         });
@@ -103,7 +103,7 @@
         hosts: &mut Hosts,
         engine: &mut Engine,
     ) -> Vec<Input> {
-        let numbers: Vec<u64> = self.unsent.keys().copied().collect();
+        let numbers: Vec<u64> = self.pending.keys().copied().collect();
         let mut ended = Vec::new();
         for number in numbers {
             let departure = engine.may_leave(now, number);
@@ -121,7 +121,7 @@
     }
 
     fn parked_at(&self, number: u64) -> Option<Micros> {
-        match self.unsent.get(&number)?.location {
+        match self.pending.get(&number)?.location {
             Location::Parked(since) => Some(since),
             Location::Queued(_) => None,
         }
@@ -136,13 +136,13 @@
         hosts: &mut Hosts,
         engine: &Engine,
     ) -> Option<Input> {
-        let unsent = self.unsent.get_mut(&number)?;
+        let pending = self.pending.get_mut(&number)?;
         let is_recent = |since: Micros| now.saturating_sub(since) <= MAX_FRAME_AGE;
-        match (unsent.location, &mut unsent.item) {
+        match (pending.location, &mut pending.item) {
             (Location::Queued(_), Item::Order(_)) => None,
             // The rate limit counts orders when they are issued, so the decision module must issue it again.
             (Location::Parked(_), Item::Order(_)) => {
-                self.unsent.remove(&number);
+                self.pending.remove(&number);
                 Some(Input::OrderEnded(number, OrderEnd::CutOff, 0))
             }
             (Location::Queued(since), Item::Attempt(_))
@@ -152,10 +152,10 @@
             }
             (_, Item::Attempt(attempt)) => {
                 (attempt.time_left, attempt.timeout) = engine.times_left(now, number)?;
-                unsent.location = Location::Queued(now);
+                pending.location = Location::Queued(now);
                 let ended = hosts.run(hub, attempt);
                 if ended.is_some() {
-                    self.unsent.remove(&number);
+                    self.pending.remove(&number);
                 }
                 ended
             }
@@ -171,17 +171,17 @@
         hub: &mut Hub,
         hosts: &mut Hosts,
     ) -> Option<Input> {
-        let unsent = self.unsent.get_mut(&number)?;
-        let since = match unsent.location {
+        let pending = self.pending.get_mut(&number)?;
+        let since = match pending.location {
             Location::Parked(since) => since,
             Location::Queued(_) if hosts.unqueue(hub, number) => now,
             Location::Queued(_) => return None,
         };
-        unsent.location = Location::Parked(since);
+        pending.location = Location::Parked(since);
         if what == WaitFor::Worker {
-            hosts.request_probe(hub, now, unsent.item.worker());
+            hosts.request_probe(hub, now, pending.item.worker());
         }
-        match unsent.item {
+        match pending.item {
             Item::Attempt(_) if since.saturating_add(MAX_PARKED) <= now => self.cancel(number, hub, hosts),
             Item::Attempt(_) | Item::Order(_) => None,
         }
@@ -189,12 +189,12 @@
 
     /// The item may not be sent at all: cancels it.
     fn cancel(&mut self, number: u64, hub: &mut Hub, hosts: &mut Hosts) -> Option<Input> {
-        let unsent = self.unsent.remove(&number)?;
-        let is_parked = matches!(unsent.location, Location::Parked(_));
+        let pending = self.pending.remove(&number)?;
+        let is_parked = matches!(pending.location, Location::Parked(_));
         if !is_parked && !hosts.unqueue(hub, number) {
             return None;
         }
-        Some(match unsent.item {
+        Some(match pending.item {
             Item::Attempt(_) => Input::AttemptEnded(number, AttemptEnd::TakenBack, Vec::new(), None),
             Item::Order(_) => Input::OrderEnded(number, OrderEnd::NotConnected, 0),
         })
--- a/crates/platform/src/front.rs
+++ b/crates/platform/src/front.rs
@@ -215,7 +215,7 @@
                 }
             }
             FromClient::Request(stream, _) if client.streams.contains_key(&stream) => {
-                self.protocol_error(hub, connection, "two requests on one stream");
+                self.protocol_error(hub, connection, "a stream with two requests");
             }
             FromClient::Request(stream, Err(why)) => {
                 tracing::debug!(connection, stream, %why, "unusable");
@@ -223,7 +223,7 @@
                 let often = client.unusable >= MAX_UNUSABLE;
                 self.reject(hub, connection, stream, "unusable");
                 if often {
-                    self.protocol_error(hub, connection, "too many unusable requests");
+                    self.protocol_error(hub, connection, "requests that can't be used");
                 }
             }
             FromClient::Request(stream, Ok(request)) => {
@@ -322,9 +322,9 @@
         let Some(client) = self.connections.get_mut(&connection).filter(|_| backlog > MAX_BACKLOG) else {
             return;
         };
-        let (_, asked) = client.stalled.get_or_insert((backlog, 0));
-        *asked += 1;
-        if *asked > MAX_UNREAD {
+        let (_, requests) = client.stalled.get_or_insert((backlog, 0));
+        *requests += 1;
+        if *requests > MAX_UNREAD {
             client.ending = true;
             return self.close(hub, connection, NOT_READING);
         }
--- a/crates/platform/src/hosts.rs
+++ b/crates/platform/src/hosts.rs
@@ -286,11 +286,11 @@
 
     /// Removes an attempt or order from its connection's queue; false if a byte was sent or it isn't queued.
     pub fn unqueue(&mut self, hub: &mut Hub, number: u64) -> bool {
-        let taken = self.carriers.withdraw(hub, number);
-        if taken {
+        let removed = self.carriers.withdraw(hub, number);
+        if removed {
             self.discard(number);
         }
-        taken
+        removed
     }
 
     /// Probes a host on an open connection, or opens one.
@@ -322,8 +322,8 @@
     pub fn probe(&mut self, hub: &mut Hub, worker: &WorkerId) -> bool {
         self.next_probe += 1;
         let tag = format!("p{}", self.next_probe);
-        let outcome = self.carriers.tell(hub, worker, |out| host::alive(out, &tag));
-        let connection_state = outcome.and_then(|connection| self.connections_by_id.get_mut(&connection));
+        let probed_on = self.carriers.tell(hub, worker, |out| host::alive(out, &tag));
+        let connection_state = probed_on.and_then(|connection| self.connections_by_id.get_mut(&connection));
         let Some(connection_state) = connection_state else { return false };
         connection_state.outstanding.insert(tag, Outstanding::Probe(hub.clock().now()));
         true
--- a/crates/transport/src/clock.rs
+++ b/crates/transport/src/clock.rs
@@ -1,12 +1,12 @@
-//! The program's one clock.
+//! The clock of the program.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use cresswheel_protocol::Micros;
 use rustix::time::{ClockId, clock_gettime};
 
-/// Microseconds since 1970 that only go forward: the wall clock at the start plus the machine's monotonic time
-/// since, so that a clock set back can't make a deadline come late. Processes of one machine that share a
+/// Microseconds since 1970 that never go backwards: the wall clock at the start plus the monotonic time
+/// since, so that setting the wall clock back can't delay a deadline. Processes of one machine that share a
 /// [`Clock::base`] read the same time.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
@@ -26,17 +26,17 @@
 }
 
 impl Clock {
-    /// The clock of another process of this machine.
+    /// The clock of another process on this machine.
     pub fn of(base: Micros) -> Self {
         Self { base }
     }
 
-    /// What makes this clock: the wall clock's time when the machine's monotonic one began.
+    /// The wall-clock time at the origin of the monotonic clock.
     pub fn base(&self) -> Micros {
         self.base
     }
 
-    /// Now.
+    /// The current time.
     pub fn now(&self) -> Micros {
         self.base.saturating_add(monotonic())
     }
--- a/crates/transport/src/hub.rs
+++ b/crates/transport/src/hub.rs
@@ -1,4 +1,4 @@
-//! Connections, and the loop that drives them; listeners and sockets for datagrams are modules of their own.
+//! Connections and the loop that drives them; listeners and datagram sockets have their own modules.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::io::{self, ErrorKind, Read, Write};
@@ -23,14 +23,14 @@
 use crate::out::{Out, Sent};
 use crate::watch::{AT_ONCE, Ready, Seen, Wanted, Watch};
 
-/// Names a connection: its slot (20 bits) and how often one was opened before it (28 bits), so that it is not used
-/// again before 268 million others. The upper 16 bits are 0, for programs that bring several hubs together.
+/// Identifies a connection by its slot (20 bits) and a serial number (28 bits), so that an id is not reused
+/// before 268 million others. The upper 16 bits are 0, for programs that combine several hubs.
 pub type Connection = u64;
 
 const SLOT_BITS: u32 = 20;
 const SERIALS: u32 = 1 << 28;
 
-/// The slot of a connection: small, dense, and used again; for tables beside the hub's.
+/// The slot of a connection: a small, dense, reused index for tables beside the hub's.
 pub fn slot(connection: Connection) -> usize {
     (connection & ((1 << SLOT_BITS) - 1)) as usize
 }
@@ -39,16 +39,16 @@
     u64::from(serial) << SLOT_BITS | slot as u64
 }
 
-/// Bounds of a hub.
+/// Limits of a hub.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HubLimits {
-    /// Frames.
+    /// Limits of frames.
     pub frame: Limits,
-    /// HTTP requests.
+    /// Limits of HTTP requests.
     pub http: http::Limits,
-    /// Bytes that may wait to be written on one connection before it is closed.
+    /// Maximum output backlog of a connection, in bytes; beyond it the connection is closed.
     pub out: usize,
-    /// Connections accepted that may stand at once; the next ones are closed at once.
+    /// Maximum number of accepted connections; further ones are closed at once.
     pub accepted: usize,
 }
 
@@ -59,53 +59,53 @@
     }
 }
 
-/// What a connection speaks.
+/// The protocol of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Wire {
     /// The main protocol.
     Frames,
-    /// HTTP/1.1, as its server.
+    /// HTTP/1.1, server side.
     Http,
-    /// Bytes that are nobody's business here.
+    /// Bytes that the hub doesn't interpret.
     Raw,
 }
 
-/// What happened.
+/// An event.
 #[derive(Debug)]
 pub enum Notice {
-    /// A listener (by the number that `listen` gave) took a connection.
+    /// A listener (by the number that `listen` returned) accepted a connection.
     Opened(Connection, u32),
-    /// A connection that this side opened stands.
+    /// A connection opened by this side is established.
     Connected(Connection),
-    /// A message came.
+    /// A message was received.
     Message(Connection, Message),
-    /// Bytes came.
+    /// Bytes were received.
     Bytes(Connection, Vec<u8>),
-    /// A request came.
+    /// A request was received.
     Request(Connection, http::Request),
-    /// Bytes came that are no request; answer and close.
+    /// Malformed bytes were received; answer and close.
     BadRequest(Connection, http::HttpError),
-    /// Bytes came, and so many are held of a frame or request that is not whole. Told only of guests, by hubs that
-    /// were asked to ([`Hub::tell_halves`]).
+    /// Bytes were received, and this many are buffered of an incomplete frame or request. Reported only for
+    /// accepted connections, and only if enabled with [`Hub::tell_halves`].
     Half(Connection, usize),
-    /// All that waited for a paused connection, or one that was to be told of ([`Hub::tell_flushed`]), is written.
+    /// The output backlog of a paused connection, or of one marked by [`Hub::tell_flushed`], is written.
     Flushed(Connection),
-    /// A connection is gone, or one that this side opened never stood.
+    /// A connection ended, or could not be established.
     Closed {
         /// The connection.
         connection: Connection,
-        /// It came to a listener.
+        /// Whether it was accepted by a listener.
         guest: bool,
-        /// It never stood.
+        /// Whether it was never established.
         never_stood: bool,
-        /// Marks of the frames of which no byte left.
+        /// Marks of the frames of which no byte was sent.
         unsent: Vec<u64>,
-        /// Why, in words.
+        /// The reason, as text.
         why: String,
     },
-    /// A datagram came to this socket ([`Hub::datagrams`]).
+    /// A datagram was received on this socket ([`Hub::datagrams`]).
     Datagram(usize, Vec<u8>),
-    /// A signal came.
+    /// A signal was received.
     Signal(Signal),
 }
 
@@ -115,11 +115,11 @@
     Raw(Vec<u8>),
 }
 
-/// What a connection holds while something is under way on it; an idle one holds none.
+/// State of an active connection; an idle one has none.
 struct Work {
     decode: Decode,
     out: Out,
-    /// Until then it must stand, or the other side must have closed.
+    /// Deadline for the connection to be established, or for the peer to close it.
     until: Option<Micros>,
 }
 
@@ -134,37 +134,37 @@
     }
 }
 
-/// A connection. Small: most are idle.
+/// A connection. Kept small, as most are idle.
 struct Conn {
     socket: Socket,
     serial: u32,
     wire: Wire,
     accepted: bool,
-    /// It does not stand yet.
+    /// The connection is not established yet.
     connecting: bool,
-    /// All is written and its end said; the other side may still be writing, and is read, so that a reset does
-    /// not take the last answer from it.
+    /// All output is written and the write side is shut down. The peer may still be writing and is read, so
+    /// that a reset doesn't destroy the last answer.
     lingering: bool,
     readable: bool,
     writable: bool,
     paused: bool,
     tell_flushed: bool,
     close_when_flushed: bool,
-    /// It is among those that have their turn next.
+    /// Queued for the next iteration.
     queued: bool,
-    /// What it is watched for.
+    /// The events that it is polled for.
     interest: Wanted,
-    /// The earliest time at which what is read next can have come.
+    /// The earliest time at which the next bytes read can have arrived.
     since: Micros,
-    /// The other side has ended it, or it broke: behind what can be read is its end.
+    /// The peer closed it or it failed: the end follows the bytes that can still be read.
     ended: bool,
-    /// All that had come was read, and it is watched for more: what is read next came after the last look.
+    /// All received bytes were read and it is polled for more: the next bytes arrived after the last poll.
     drained: bool,
     work: Option<Box<Work>>,
 }
 
 impl Conn {
-    /// Whether bytes that come are to be read.
+    /// Whether received bytes are to be read.
     fn wants_to_read(&self) -> bool {
         let wanted = self.lingering || (!self.paused && !self.close_when_flushed);
         !self.connecting && wanted
@@ -174,7 +174,8 @@
         self.readable && self.wants_to_read()
     }
 
-    /// What it is to be watched for. The end of a paused one is seen: whoever left no longer waits for what it asked.
+    /// The events to poll for. The end of a paused connection is reported: its client no longer waits for its
+    /// answers.
     fn wanted(&self) -> Wanted {
         let end = self.paused && !self.connecting && !self.close_when_flushed;
         Wanted { read: self.wants_to_read(), write: !self.writable, end }
@@ -191,7 +192,7 @@
         })
     }
 
-    /// Whether something is to be written that waits for another turn, if own connections are written or not.
+    /// Whether output is left for a later iteration, given whether own connections may be written.
     fn is_left_over(&self, write: bool) -> bool {
         let ends = self.close_when_flushed && !self.lingering;
         let writes = self.writable && !self.connecting && (self.unsent() > 0 || ends);
@@ -207,12 +208,12 @@
     }
 }
 
-/// Whose waiting bytes are written in a turn.
+/// Which connections are written in an iteration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Writing {
-    /// Those of the program's own connections only until that time.
+    /// Accepted connections, and the program's own until this time.
     Until(Micros),
-    /// Only those of connections that came to a listener.
+    /// Accepted connections only.
     Guests,
 }
 
@@ -221,7 +222,8 @@
         matches!(self, Self::Until(end) if now <= end)
     }
 
-    /// When a byte of the program's own can have left at the latest, in a turn that was over at that time.
+    /// The latest time at which a byte can have been sent on own connections, in an iteration that ended at
+    /// `over`.
     fn latest(self, over: Micros) -> Micros {
         match self {
             Self::Until(end) => end.min(over),
@@ -230,21 +232,21 @@
     }
 }
 
-/// Bytes read from one connection before the next has its turn.
+/// Bytes read from one connection at once.
 const READ_AT_ONCE: usize = 64 << 10;
-/// One that gives so many may go on at once: its sender's window was full, and opens with the read.
+/// After a read of this size more may follow at once: the sender's window was full and opens with the read.
 const READ_LONG: usize = READ_AT_ONCE / 2;
-/// Reads at once of a connection whose other side has ended it.
+/// Maximum reads at once of a connection that the peer has closed.
 const LAST_READS: u32 = 4;
-/// How long a connection that is done with waits for the other side to close.
+/// How long a finished connection waits for the peer to close.
 const LINGER: Micros = 500_000;
 const FINISHED: &str = "finished";
-/// Why a connection closed that the other side ended in good order.
+/// Close reason of a connection that the peer ended in good order.
 pub const ENDED: &str = "closed by the other side";
-/// Woken so much later than it was to be, the process did not only sleep: what is ready then may have come at any time
-/// since the sleep began.
+/// A wake-up this much too late shows that the process was paused, not only asleep: what is ready then may
+/// have arrived at any time since the sleep began.
 const STOOD_STILL: Micros = 20_000;
-/// However busy the sockets are, signals are looked for that often.
+/// Maximum interval between checks for signals, however busy the sockets are.
 const LOOP_AT_LEAST: Micros = 5_000;
 
 #[derive(Default)]
@@ -263,37 +265,37 @@
     accepted: usize,
     listeners: Vec<Listener>,
     datagrams: Slab<UdpSocket>,
-    /// Sockets that came to a listener, and those listeners.
+    /// Accepted sockets and listeners.
     guests: Watch,
     guests_source: RegistrationToken,
-    /// Sockets that this side opened or was handed.
+    /// Sockets that this side opened or adopted.
     own: Watch,
-    /// Guests are left waiting in the kernel.
+    /// Accepted connections are left waiting in the kernel.
     held: bool,
     halves: bool,
     accept_at_once: usize,
     looped: Micros,
     accept_again: Option<Micros>,
-    /// Connections with something to read or write in the next turn.
+    /// Connections to read or write in the next iteration.
     turn: Vec<Connection>,
-    /// When guests were looked at last, and whether there may have been more of them with something to read.
+    /// When accepted connections were polled last, and whether more of them may have had input.
     heard: Micros,
     heard_in_part: bool,
-    /// What the program begins on its own connections leaves so long after the last look at the sockets at most.
+    /// Maximum age of the last poll at which output is sent on own connections.
     leaves_within: Option<Micros>,
-    /// The last call of `wait` wrote nothing to own connections, since the last look was too long ago.
+    /// The last call of `wait` sent nothing on own connections, as the last poll was too old.
     skipped: bool,
-    /// When the program's own connections were written last.
+    /// When own connections were written last.
     wrote: Micros,
-    /// When connections must stand, or stop lingering.
+    /// Deadlines of connecting and lingering connections.
     due: BTreeSet<(Micros, Connection)>,
     notices: VecDeque<(Micros, Notice)>,
     came: Micros,
     seen: Vec<(Micros, Seen)>,
     scratch: Vec<u8>,
-    /// Times that accepting paused for lack of descriptors.
+    /// How often accepting paused for lack of descriptors.
     pub starved: u64,
-    /// Connections closed at once because too many stood.
+    /// Connections closed at once because of the connection limit.
     pub turned_away: u64,
 }
 
@@ -303,7 +305,7 @@
 }
 
 impl Hub {
-    /// A hub without connections.
+    /// Creates a hub without connections.
     pub fn new(limits: HubLimits) -> io::Result<Self> {
         Self::with_clock(limits, Clock::default())
     }
@@ -354,7 +356,7 @@
         self.clock
     }
 
-    /// Reads another process's clock from now on.
+    /// Uses another process's clock from now on.
     pub fn set_clock(&mut self, clock: Clock) {
         let now = clock.now();
         self.clock = clock;
@@ -362,12 +364,12 @@
         (self.own.drained, self.guests.drained) = (now, now);
     }
 
-    /// Changes the bounds; what is half read keeps those of its frame.
+    /// Changes the limits; partly read frames keep the old ones.
     pub fn set_limits(&mut self, limits: HubLimits) {
         self.limits = limits;
     }
 
-    /// Turns signals into notices. Call it before other threads are started.
+    /// Reports signals as notices. Must be called before other threads start.
     pub fn signals(&mut self, signals: &[Signal]) -> io::Result<()> {
         let source = Signals::new(signals).map_err(io::Error::other)?;
         let seen = |event: calloop::signals::Event, (): &mut (), woken: &mut Woken| {
@@ -377,20 +379,21 @@
         Ok(())
     }
 
-    /// From now on the program's bytes leave on its own connections only within `span` of the last look at the
-    /// sockets: after a longer turn, or a standstill of the process, the program hears first what happened meanwhile.
-    /// They are left waiting by one call of [`Hub::wait`] at most, so that a program whose turns are all longer goes on.
+    /// Limits output on own connections to `span` after the last poll of the sockets: after a longer
+    /// iteration, or a pause of the process, the program first receives what happened meanwhile. At most one
+    /// call of [`Hub::wait`] in a row holds output back, so a program whose iterations are all longer makes
+    /// progress.
     pub fn leave_within(&mut self, span: Micros) {
         self.leaves_within = Some(span);
     }
 
-    /// From now on [`Notice::Half`] tells of messages that are not whole.
+    /// Enables [`Notice::Half`].
     pub fn tell_halves(&mut self) {
         self.halves = true;
     }
 
-    /// Leaves all connections that came to a listener, and those that would come, waiting in the kernel, or goes
-    /// on with them. What was to be written to them waits as well, unless it can be written at once.
+    /// Leaves all accepted and new connections waiting in the kernel, or resumes them. Output to them waits
+    /// too, unless it can be written at once.
     pub fn hold_guests(&mut self, held: bool) {
         if self.held == held {
             return;
@@ -405,13 +408,13 @@
         }
     }
 
-    /// Begins a connection. Frames may be sent at once; they leave when it stands. If it does not stand by
-    /// `within`, it is closed.
+    /// Starts to connect. Frames may be sent at once; they are written once the connection is established. If
+    /// that takes longer than `within`, it is closed.
     pub fn connect(&mut self, address: SocketAddr, wire: Wire, within: Micros) -> Connection {
         self.connect_from(None, address, wire, within)
     }
 
-    /// The same from an address of this machine.
+    /// Like [`Hub::connect`], from a given local address.
     pub fn connect_from(
         &mut self,
         from: Option<SocketAddr>,
@@ -424,7 +427,7 @@
             let domain = socket2::Domain::for_address(address);
             let socket = Socket::new(domain, socket2::Type::STREAM, None)?;
             socket.set_nonblocking(true)?;
-            // Small frames should not wait for each other; without the option they only come later.
+            // Small frames should not wait for each other; without the option they are only delayed.
             let _ = socket.set_tcp_nodelay(true);
             if let Some(from) = from {
                 socket.bind(&from.into())?;
@@ -454,7 +457,7 @@
         }
     }
 
-    /// Takes over a connected stream socket, of this or of another kind.
+    /// Adopts a connected stream socket of any kind.
     pub fn adopt(&mut self, socket: OwnedFd, wire: Wire) -> io::Result<Connection> {
         let socket = Socket::from(socket);
         socket.set_nonblocking(true)?;
@@ -521,7 +524,7 @@
         self.notices.push_back((since, notice));
     }
 
-    /// Gives a connection its turn.
+    /// Queues a connection for the next iteration.
     fn queue(&mut self, id: Connection) {
         if let Some(conn) = self.get(id)
             && !std::mem::replace(&mut conn.queued, true)
@@ -530,32 +533,32 @@
         }
     }
 
-    /// Whether a connection is still there.
+    /// Whether a connection is still open.
     pub fn is_open(&self, id: Connection) -> bool {
         self.see(id).is_some()
     }
 
-    /// Connections that are there.
+    /// The number of open connections.
     pub fn connections(&self) -> usize {
         self.conns.len()
     }
 
-    /// The other side's address.
+    /// The address of the peer.
     pub fn peer(&self, id: Connection) -> Option<SocketAddr> {
         self.see(id)?.socket.peer_addr().ok()?.as_socket()
     }
 
-    /// Bytes that wait to be written on a connection.
+    /// The output backlog of a connection, in bytes.
     pub fn backlog(&self, id: Connection) -> usize {
         self.see(id).map_or(0, Conn::unsent)
     }
 
-    /// Whether a frame or request is half there.
+    /// Whether a frame or request is partly received.
     pub fn midway(&self, id: Connection) -> bool {
         self.held(id) > 0
     }
 
-    /// Bytes held of a frame or request that is not whole; one at least if there is one.
+    /// Bytes buffered of an incomplete frame or request; at least one if there is one.
     fn held(&self, id: Connection) -> usize {
         match self.see(id).and_then(|conn| conn.work.as_ref()).map(|work| &work.decode) {
             Some(Decode::Frames(decoder)) => decoder.held(),
@@ -564,17 +567,18 @@
         }
     }
 
-    /// Sends a message; with a mark it can be told later whether it left. False: the connection is gone.
+    /// Sends a message; [`Hub::sent`] tells by the mark whether it was sent. False if the connection is
+    /// closed.
     pub fn send(&mut self, id: Connection, message: &Message, mark: Option<u64>) -> bool {
         self.write(id, mark, |buffer| encode(message, buffer))
     }
 
-    /// Sends bytes as they are.
+    /// Sends raw bytes.
     pub fn send_bytes(&mut self, id: Connection, bytes: &[u8]) -> bool {
         self.write(id, None, |buffer| buffer.extend_from_slice(bytes))
     }
 
-    /// Sends what `write` appends, as one frame; with a mark it can be told later whether it left.
+    /// Sends the output of `write` as one frame; [`Hub::sent`] tells by the mark whether it was sent.
     pub fn write(&mut self, id: Connection, mark: Option<u64>, write: impl FnOnce(&mut Vec<u8>)) -> bool {
         let limits = self.limits;
         let Some(conn) = self.get(id).filter(|c| !c.close_when_flushed) else { return false };
@@ -588,18 +592,18 @@
         true
     }
 
-    /// Takes a marked frame back if no byte of it has left.
+    /// Withdraws a marked frame if no byte of it was sent.
     pub fn withdraw(&mut self, id: Connection, mark: u64) -> bool {
         self.get(id).and_then(|conn| conn.work.as_mut()).is_some_and(|work| work.out.withdraw(mark))
     }
 
-    /// How much of a marked frame has left.
+    /// How much of a marked frame was sent.
     pub fn sent(&self, id: Connection, mark: u64) -> Sent {
         let work = self.see(id).and_then(|conn| conn.work.as_ref());
         work.map_or(Sent::Whole, |work| work.out.sent(mark))
     }
 
-    /// Stops or resumes reading a connection: its sender then has to wait.
+    /// Pauses or resumes reading a connection, which makes its sender wait.
     pub fn pause(&mut self, id: Connection, paused: bool) {
         let now = self.clock.now();
         if let Some(conn) = self.get(id) {
@@ -611,14 +615,14 @@
         }
     }
 
-    /// Once all that waits on a connection is written, [`Notice::Flushed`] says so, whether it is read or not.
+    /// Requests [`Notice::Flushed`] once the output backlog of a connection is written, whether it is paused
+    /// or not.
     pub fn tell_flushed(&mut self, id: Connection) {
         self.get(id).into_iter().for_each(|conn| conn.tell_flushed = true);
     }
 
-    /// Reads what has come on a connection by now. True: there was nothing, and no notice of it waits to be taken, so
-    /// that it can be closed without the loss of anything that the other side sent. Bytes that are unread at a close
-    /// are lost, and have the other side told of a broken connection instead of an ended one.
+    /// Reads a connection. True if nothing was received and no notice of it is pending, so that closing it
+    /// loses nothing that the peer sent. Closing with unread bytes would lose them and reset the connection.
     pub fn is_quiet(&mut self, id: Connection) -> bool {
         self.get(id).into_iter().for_each(|conn| conn.readable = true);
         self.read_in(id);
@@ -631,7 +635,7 @@
         !self.notices.iter().any(|(_, notice)| waits(notice))
     }
 
-    /// Closes a connection once what waits is written. No more notices come for it but `Closed`.
+    /// Closes a connection once its output is written. Its only further notice is `Closed`.
     pub fn finish(&mut self, id: Connection) {
         if let Some(conn) = self.get(id) {
             conn.close_when_flushed = true;
@@ -639,7 +643,7 @@
         }
     }
 
-    /// Closes a connection now.
+    /// Closes a connection at once.
     pub fn close(&mut self, id: Connection, why: &str) {
         if self.get(id).is_none() {
             return;
@@ -657,15 +661,15 @@
         self.tell(Notice::Closed { connection: id, guest, never_stood, unsent, why });
     }
 
-    /// Writes what can be written, then waits for news, until `until` at the latest.
+    /// Writes pending output, then waits for events, until `until` at the latest.
     ///
-    /// What became possible meanwhile on the program's own connections is written by the next call: before that, the
-    /// program hears what its guests said, and may take back what has not left. See [`Hub::leave_within`].
+    /// Output that becomes possible on own connections meanwhile is written by the next call: before that,
+    /// the program sees what its clients sent and may withdraw unsent frames. See [`Hub::leave_within`].
     pub fn wait(&mut self, until: Option<Micros>) -> io::Result<()> {
         let writing = self.own_writing();
         self.turns(writing);
         self.wrote = writing.latest(self.clock.now());
-        // What is ready before there is any sleep became so since the last look; what ends the sleep came then.
+        // What is ready before any sleep became so since the last poll; what ends the sleep arrived then.
         let mut found = self.look()?;
         let now = self.clock.now();
         if found == 0 || now.saturating_sub(self.looped) > LOOP_AT_LEAST {
@@ -710,7 +714,7 @@
             (0..self.listeners.len()).for_each(|number| self.accept(number));
         }
         self.turns(Writing::Guests);
-        // Only now: a connection that stands by its time is not given up for a look that comes late.
+        // Only after polling: a connection established in time is not closed because of a late check.
         while let Some((_, id)) = self.due.first().filter(|(at, _)| *at <= now).copied() {
             let lingered = self.get(id).is_some_and(|conn| conn.lingering);
             self.close(id, if lingered { FINISHED } else { "no connection in time" });
@@ -718,13 +722,13 @@
         Ok(())
     }
 
-    /// When [`Hub::wait`] can have written to the program's own connections last. A process that stands still in the
-    /// middle of a turn writes nothing to them afterwards, if [`Hub::leave_within`] bounds that.
+    /// The latest time at which [`Hub::wait`] can have written to own connections. With
+    /// [`Hub::leave_within`], a process that is paused within an iteration writes nothing to them afterwards.
     pub fn wrote(&self) -> Micros {
         self.wrote
     }
 
-    /// How long the program's own bytes may leave in this turn.
+    /// Until when own connections may be written in this iteration.
     fn own_writing(&mut self) -> Writing {
         let Some(span) = self.leaves_within else { return Writing::Until(Micros::MAX) };
         let end = self.heard.saturating_add(span);
@@ -736,16 +740,15 @@
         }
     }
 
-    /// Whether guests may have said something that was not read: the last look at them was longer ago than `span`, or
-    /// found more than it could read, or so much that more may come with the reading.
+    /// Whether accepted connections may have unread input: the last poll is older than `span`, or found more
+    /// than could be read, or so much that more may follow.
     pub fn is_behind(&self, span: Micros) -> bool {
         let reads = |id: &Connection| self.see(*id).is_some_and(|conn| conn.accepted && conn.reads());
         let late = self.heard.saturating_add(span) < self.clock.now();
         !self.held && (late || self.heard_in_part || self.turn.iter().any(reads))
     }
 
-    /// Reads what guests have said by now and the datagrams that came, and does nothing else: nothing is written or
-    /// accepted, and nobody waits.
+    /// Reads the input of accepted connections and datagrams without blocking; writes and accepts nothing.
     pub fn hear(&mut self) -> io::Result<()> {
         let sockets: Vec<usize> = self.datagrams.iter().map(|(number, _)| number).collect();
         sockets.into_iter().for_each(|number| self.read_datagrams(number));
@@ -756,7 +759,7 @@
         self.look_at_guests(self.clock.now(), &mut seen)?;
         seen.drain(..).for_each(|(since, what)| self.ready(since, what));
         self.seen = seen;
-        // They keep their turn: what is to be written to them is written then.
+        // They stay queued: output to them is written later.
         let is_guest = |id: &Connection| self.see(*id).is_some_and(|conn| conn.accepted);
         let guests: Vec<Connection> = self.turn.iter().copied().filter(is_guest).collect();
         guests.into_iter().for_each(|id| self.read_in(id));
@@ -772,12 +775,13 @@
         Ok(found)
     }
 
-    /// Looks at the sockets without waiting, the program's own first.
+    /// Polls the sockets without blocking, the program's own first.
     fn look(&mut self) -> io::Result<usize> {
         let now = self.clock.now();
         let mut seen = std::mem::take(&mut self.seen);
         let own = self.own.look(now, &mut seen);
-        // Whoever left no longer waits for what it asked, however long the others are left waiting.
+        // The end of a connection is reported even while accepted connections are paused: its client no
+        // longer waits for its answers.
         let guests = match self.held {
             true => {
                 self.heard = now;
@@ -800,7 +804,7 @@
         };
         let Some(conn) = self.get(id) else { return };
         if !conn.interest.read && (broken || conn.interest.end && ended) && !conn.connecting {
-            // Not watched for bytes, so it is the end: the other side has left, or it broke.
+            // Not polled for input, so this is the end: the peer closed the connection or it failed.
             return self.close(id, "hung up");
         }
         if std::mem::take(&mut conn.drained) {
@@ -812,25 +816,25 @@
         self.queue(id);
     }
 
-    /// The next thing that happened.
+    /// The next event.
     pub fn take_notice(&mut self) -> Option<Notice> {
         let (since, notice) = self.notices.pop_front()?;
         self.came = since;
         Some(notice)
     }
 
-    /// The earliest time at which the bytes behind the notice that was taken last can have come to this machine:
-    /// a busy program, or one that lets its guests wait, reads them later.
+    /// The earliest time at which the bytes behind the last taken notice can have arrived at this machine: a
+    /// busy program, or one that pauses accepted connections, reads them later.
     pub fn came(&self) -> Micros {
         self.came
     }
 
-    /// Reads and writes where there is something to read or write.
+    /// Reads and writes all queued connections.
     fn turns(&mut self, write: Writing) {
         for id in std::mem::take(&mut self.turn) {
             let Some(conn) = self.get(id) else { continue };
             conn.queued = false;
-            // Looked up for each of them: the process may stand still between two.
+            // Evaluated for each connection: the process may be paused between two.
             let own = write.allows_own(self.clock.now());
             self.write_out(id, own);
             self.read_in(id);
@@ -841,7 +845,7 @@
         }
     }
 
-    /// Watches a connection for what it waits for, and nothing else; an idle one gives back what it held.
+    /// Updates the polled events of a connection, and frees the state of an idle one.
     fn settle(&mut self, id: Connection) {
         let Some(conn) = self.conns.get_mut(slot(id)).filter(|c| named(c.serial, slot(id)) == id) else {
             return;
@@ -878,8 +882,8 @@
                     }
                     Ok(None) => conn.writable = false,
                     Ok(Some(error)) | Err(error) => {
-                        // Refused is what a connection is that never stood; to be reset it must have stood, however
-                        // short, and the other side is there.
+                        // A refused connection was never established; one that is reset was, however briefly,
+                        // and the peer is there.
                         conn.connecting = error.kind() != io::ErrorKind::ConnectionReset;
                         self.close(id, &error.to_string());
                     }
@@ -891,7 +895,7 @@
             }
             if conn.unsent() == 0 {
                 if conn.close_when_flushed && !conn.lingering {
-                    // If the other side has left meanwhile, the next read says so.
+                    // If the peer has closed meanwhile, the next read reports it.
                     let _ = conn.socket.shutdown(std::net::Shutdown::Write);
                     let due = now + LINGER;
                     (conn.lingering, conn.readable) = (true, true);
@@ -924,7 +928,7 @@
             return;
         };
         let (mut over, mut came, mut long) = (None, false, false);
-        // That the other side left is to be known before anything is done about what it sent before.
+        // The end of the connection is to be known before earlier input of the peer is acted on.
         let mut reads = if conn.ended { LAST_READS } else { 1 };
         while conn.reads() && reads > 0 {
             reads -= 1;
--- a/crates/transport/src/hub/datagrams.rs
+++ b/crates/transport/src/hub/datagrams.rs
@@ -1,15 +1,15 @@
-//! Sockets for datagrams, each to and from one address.
+//! Datagram sockets, each connected to one peer.
 
 use std::io::{self, ErrorKind};
 use std::net::{SocketAddr, UdpSocket};
 
 use super::{Hub, Notice};
 
-/// Datagrams read before others have their turn.
+/// Maximum datagrams read at once, to keep an iteration short.
 const DATAGRAMS_AT_ONCE: usize = 16;
 
 impl Hub {
-    /// A socket for datagrams to and from one address; gives the number that its notices carry.
+    /// Opens a datagram socket to a peer; returns the number that its notices carry.
     pub fn datagrams(&mut self, peer: SocketAddr) -> io::Result<usize> {
         let any: SocketAddr = if peer.is_ipv4() { ([0; 4], 0).into() } else { ([0; 16], 0).into() };
         let socket = UdpSocket::bind(any)?;
@@ -22,8 +22,8 @@
         Ok(number)
     }
 
-    /// Sends a datagram. It may be lost on its way, so an error is no more than that; but the system tells here of what
-    /// became of an earlier one, and then this one did not leave.
+    /// Sends a datagram. An error counts as a lost datagram, but the system may report here the failure of an
+    /// earlier one, in which case this one was not sent: it is tried once more.
     pub fn send_datagram(&mut self, number: usize, bytes: &[u8]) {
         let Some(socket) = self.datagrams.get(number) else { return };
         if let Err(error) = socket.send(bytes).or_else(|_| socket.send(bytes)) {
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Gives up a socket for datagrams.
+    /// Closes a datagram socket.
     pub fn close_datagrams(&mut self, number: usize) {
         if let Some(socket) = self.datagrams.try_remove(number) {
             self.own.remove(&socket);
@@ -44,7 +44,7 @@
             match socket.recv(&mut self.scratch) {
                 Ok(count) => self.tell(Notice::Datagram(number, self.scratch[..count].to_vec())),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
-                // Nobody listened to what was sent: no more than a loss.
+                // The peer's port was closed: no more than a loss.
                 Err(error) => tracing::debug!(%error, "no datagram"),
             }
         }
--- a/crates/transport/src/hub/listeners.rs
+++ b/crates/transport/src/hub/listeners.rs
@@ -1,4 +1,4 @@
-//! Listeners: who waits to be accepted, and what happens when descriptors run out.
+//! Listeners: accepting, and the reaction to a lack of descriptors.
 
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
@@ -10,11 +10,11 @@
 
 use super::{Hub, Notice, Wire};
 
-/// Connections accepted before others have their turn.
+/// Maximum connections accepted at once, to keep an iteration short.
 pub(super) const ACCEPT_AT_ONCE: usize = 64;
-/// Connections that may wait to be accepted.
+/// Length of the listen queue.
 const QUEUE: usize = 4_096;
-/// How long accepting pauses when descriptors ran out.
+/// How long accepting pauses after descriptors ran out.
 const ACCEPT_PAUSE: Micros = 50_000;
 
 pub(super) struct Listener {
@@ -22,22 +22,22 @@
     pub(super) wire: Wire,
     pub(super) ready: bool,
     pub(super) paused: bool,
-    /// Nobody waited to be accepted at that time.
+    /// The listen queue was empty at this time.
     pub(super) drained: Micros,
 }
 
 impl Listener {
-    /// The loop slept while nobody waited here.
+    /// The event loop was idle until then with an empty listen queue.
     pub(super) fn slept(&mut self, until: Micros) {
         self.drained = self.drained.max(until.saturating_sub(crate::watch::WAKING));
     }
 }
 
-/// A listening socket, to be shared or taken to a hub.
+/// Opens a listening socket, to be shared or adopted by a hub.
 pub fn listener(address: SocketAddr) -> io::Result<Socket> {
     let socket = Socket::new(socket2::Domain::for_address(address), socket2::Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
-    // What it accepts has this from it: small frames should not wait for each other.
+    // Inherited by accepted sockets: small frames should not wait for each other.
     socket.set_tcp_nodelay(true)?;
     socket.bind(&address.into())?;
     socket.listen(QUEUE as i32)?;
@@ -45,14 +45,14 @@
 }
 
 impl Hub {
-    /// Listens; gives the listener's number and the address, with the port that was found for port 0.
+    /// Listens; returns the listener's number and its address, with the port chosen for port 0.
     pub fn listen(&mut self, address: SocketAddr, wire: Wire) -> io::Result<(u32, SocketAddr)> {
         let socket = listener(address)?;
         let address = socket.local_addr()?.as_socket().ok_or(ErrorKind::InvalidInput)?;
         Ok((self.adopt_listener(socket.into(), wire)?, address))
     }
 
-    /// Takes connections from a listening socket that another process may share.
+    /// Accepts connections from a listening socket that other processes may share.
     pub fn adopt_listener(&mut self, socket: OwnedFd, wire: Wire) -> io::Result<u32> {
         let socket = Socket::from(socket);
         socket.set_nonblocking(true)?;
@@ -63,12 +63,12 @@
         Ok(number as u32)
     }
 
-    /// In one turn a listener takes so many connections at most.
+    /// Sets how many connections a listener accepts per loop iteration.
     pub fn accept_at_once(&mut self, most: usize) {
         self.accept_at_once = most.clamp(1, ACCEPT_AT_ONCE);
     }
 
-    /// Stops or resumes taking connections on all listeners; those that come meanwhile wait in the kernel.
+    /// Pauses or resumes accepting on all listeners; new connections stay in the listen queue.
     pub fn pause_listening(&mut self, paused: bool) {
         for number in 0..self.listeners.len() {
             let listener = &mut self.listeners[number];
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Accepting pauses until then, or goes on.
+    /// Pauses accepting until the given time, or resumes it.
     pub(super) fn starve(&mut self, until: Option<Micros>) {
         self.accept_again = until;
         for number in (0..self.listeners.len()).filter(|n| !self.listeners[*n].paused) {
@@ -99,8 +99,8 @@
         }
     }
 
-    /// Takes all that wait to be accepted, as far as there are descriptors: they stand for those who opened them, and
-    /// a listener that is given up breaks them.
+    /// Accepts all connections in the listen queue, as far as there are descriptors: they are established for
+    /// their clients, and closing a listener would reset them.
     pub fn accept_waiting(&mut self) {
         self.pause_listening(false);
         let at_once = std::mem::replace(&mut self.accept_at_once, QUEUE);
@@ -114,7 +114,7 @@
         self.accept_at_once = at_once;
     }
 
-    /// Gives up all listeners; those that wait to be accepted are another process's, if one shares them.
+    /// Closes all listeners; connections in the queue are left to other processes that share them.
     pub fn stop_listening(&mut self) {
         self.pause_listening(true);
         self.listeners.clear();
@@ -145,7 +145,7 @@
                 Ok(socket) => match self.add(socket.into(), wire, true, false) {
                     Ok(id) => {
                         self.accepted += 1;
-                        // It may have waited to be accepted, and its first bytes with it.
+                        // The connection may have waited in the listen queue, and its first bytes with it.
                         self.get(id).into_iter().for_each(|conn| conn.since = since);
                         self.tell(Notice::Opened(id, number as u32));
                     }
@@ -158,7 +158,8 @@
                     }
                     e if matches!(e.kind(), ErrorKind::ConnectionAborted | ErrorKind::Interrupted) => {}
                     error => {
-                        // Out of descriptors or memory: what stands goes on, the rest waits in the kernel.
+                        // Out of descriptors or memory: open connections go on, new ones wait in the listen
+                        // queue.
                         self.starved += 1;
                         self.starve(Some(now + ACCEPT_PAUSE));
                         tracing::warn!(%error, "accepting pauses");
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,16 +1,18 @@
-//! Connections on non-blocking sockets, driven by calloop: the part that gateways, stand-ins and clients share.
+//! Connections on non-blocking sockets, driven by calloop, as used by gateways, stand-ins and clients.
 //!
-//! A [`Hub`] owns listeners and connections. [`Hub::wait`] sleeps until something happened or a time has come;
-//! [`Hub::take_notice`] then gives what happened, one [`Notice`] after the other. It decides nothing: what to send, when
-//! to pause a reader, what a closed connection means is the program's.
+//! A [`Hub`] owns listeners and connections. [`Hub::wait`] blocks until an event or a timeout;
+//! [`Hub::take_notice`] then returns the events one by one as [`Notice`]s. The hub makes no decisions: what
+//! to send, when to pause reading and what a closed connection means is up to the program.
 //!
-//! What it promises:
-//! - no connection can make it hold more than its bounds, and none waits for another;
-//! - a closed connection tells which marked frames provably never left ([`Notice::Closed`]): not one byte of them
-//!   was handed to the kernel;
-//! - an idle connection holds 48 bytes here: a slab entry with its socket, and no buffer, timer or callback;
-//! - it tells for each message the earliest time at which it can have come, so that a late reader can be fair;
-//! - when descriptors run out accepting pauses and goes on later; connections that stand are not touched.
+//! Guarantees:
+//! - no connection can exceed its buffer limits or delay another;
+//! - the notice of a closed connection names the marked frames that were never sent ([`Notice::Closed`]):
+//!   not one byte of them was handed to the kernel;
+//! - an idle connection takes 48 bytes here: a slab entry with its socket, without buffer, timer or
+//!   callback;
+//! - each message has the earliest time at which it can have arrived, so that a delayed reader can
+//!   account for it;
+//! - when descriptors run out, accepting pauses and resumes later; open connections are unaffected.
 
 mod clock;
 mod hub;
--- a/crates/transport/src/out.rs
+++ b/crates/transport/src/out.rs
@@ -1,13 +1,13 @@
-//! Bytes on their way out, and which frames among them have not begun to leave.
+//! Output buffer that tracks which frames have not begun to be sent.
 
 use std::collections::VecDeque;
 
-/// How much of a frame the kernel has.
+/// How much of a frame was handed to the kernel.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sent {
-    /// No byte: it can be taken back.
+    /// No byte: it can be withdrawn.
     Nothing,
-    /// Some bytes, not all: the other side has no whole frame, and gets none if the connection is closed now.
+    /// Some bytes, not all: the peer has no complete frame, and gets none if the connection is closed now.
     Part,
     /// All of it, or the connection never had such a frame.
     Whole,
@@ -16,11 +16,11 @@
 #[derive(Debug, Default)]
 pub struct Out {
     buffer: Vec<u8>,
-    /// Bytes at the front of the buffer that the kernel has.
+    /// Bytes at the front of the buffer that were handed to the kernel.
     sent: usize,
-    /// Bytes that left the buffer for good before its first one.
+    /// Stream offset of the first byte in the buffer.
     base: u64,
-    /// Marked frames that have not wholly left: first byte, end, mark.
+    /// Marked frames that are not completely sent: start, end, mark.
     marks: VecDeque<(u64, u64, u64)>,
 }
 
@@ -33,7 +33,7 @@
         self.len() == 0
     }
 
-    /// Appends what `write` appends, as one frame.
+    /// Appends the output of `write` as one frame.
     pub fn push(&mut self, mark: Option<u64>, write: impl FnOnce(&mut Vec<u8>)) {
         let start = self.base + self.buffer.len() as u64;
         write(&mut self.buffer);
@@ -45,7 +45,7 @@
         &self.buffer[self.sent..]
     }
 
-    /// The kernel took so many bytes.
+    /// Records that the kernel accepted this many bytes.
     pub fn took(&mut self, count: usize) {
         self.sent += count;
         let at = self.base + self.sent as u64;
@@ -55,7 +55,7 @@
         if self.sent == self.buffer.len() {
             self.base = at;
             self.sent = 0;
-            // A buffer that was large once is not kept for an idle connection.
+            // A large buffer is not kept for an idle connection.
             if self.buffer.capacity() > 4 << 10 { self.buffer = Vec::new() } else { self.buffer.clear() }
         } else if self.sent > 256 << 10 {
             self.buffer.drain(..self.sent);
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Takes a frame back if no byte of it has left.
+    /// Withdraws a frame if no byte of it was sent.
     pub fn withdraw(&mut self, mark: u64) -> bool {
         let at = self.base + self.sent as u64;
         let Some(place) = self.marks.iter().position(|(start, _, m)| *m == mark && *start >= at) else {
@@ -80,7 +80,7 @@
         true
     }
 
-    /// How much of a marked frame has left.
+    /// How much of a marked frame was sent.
     pub fn sent(&self, mark: u64) -> Sent {
         let at = self.base + self.sent as u64;
         match self.marks.iter().find(|(.., m)| *m == mark) {
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Marks of the frames of which no byte has left.
+    /// Marks of the frames of which no byte was sent.
     pub fn unsent(&self) -> Vec<u64> {
         let at = self.base + self.sent as u64;
         self.marks.iter().filter(|(start, ..)| *start >= at).map(|(.., mark)| *mark).collect()
--- a/crates/transport/src/watch.rs
+++ b/crates/transport/src/watch.rs
@@ -1,9 +1,9 @@
-//! Which sockets have something to read or can be written: one epoll for the sockets of clients, one for the
-//! program's own (workers, list, trunks), each a source in the calloop loop.
+//! Socket readiness: one epoll instance for accepted connections, one for the program's own (workers, list,
+//! trunks), each a source in the calloop loop.
 //!
-//! Why not a calloop source a socket: that costs an allocation, a slot and a callback each, about 400 bytes; here
-//! an idle socket costs nothing in the process beyond the file descriptor. Why two: the program can leave its
-//! clients waiting in the kernel while it reads its own peers on.
+//! A calloop source per socket would cost an allocation, a slot and a callback each, about 400 bytes; here an
+//! idle socket takes no memory in the process beyond its descriptor. With two instances the program can leave
+//! clients waiting in the kernel while it keeps reading from its own peers.
 
 use std::io;
 use std::os::fd::{AsFd, OwnedFd};
@@ -12,20 +12,20 @@
 use rustix::buffer::spare_capacity;
 use rustix::event::epoll::{self, CreateFlags, EventData, EventFlags};
 
-/// Most sockets looked at in one turn on each side, so that a turn stays short.
+/// Maximum events per poll on each side, to keep an iteration short.
 pub const AT_ONCE: usize = 256;
-/// How long the machine may take to wake this process once a socket is ready, as far as the loop can tell.
+/// Assumed maximum latency between a socket becoming ready and the process waking up.
 pub const WAKING: Micros = 1_000;
-/// Keys with this bit are listeners, those with the next one sockets for datagrams.
+/// Keys with the first bit are listeners, those with the second datagram sockets.
 const LISTENERS: u64 = 1 << 63;
 const DATAGRAMS: u64 = 1 << 62;
 
-/// What a socket is ready for.
+/// The readiness of a socket.
 #[derive(Clone, Copy, Debug)]
 pub struct Ready {
     pub readable: bool,
     pub writable: bool,
-    /// The other side has ended it; told with the bytes before that.
+    /// The peer has closed its side; reported together with the bytes before that.
     pub ended: bool,
     pub broken: bool,
 }
@@ -39,16 +39,16 @@
 pub struct Watch {
     epoll: OwnedFd,
     events: Vec<epoll::Event>,
-    /// All that was ready at that time has been seen: what is ready later became so after it.
+    /// Everything ready at this time was reported: other sockets became ready later.
     pub drained: Micros,
 }
 
-/// What a socket is watched for, beside its being broken.
+/// The events to poll a socket for, besides errors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Wanted {
     pub read: bool,
     pub write: bool,
-    /// That the other side ends it, though its bytes are not read.
+    /// Closing by the peer, even though its bytes are not read.
     pub end: bool,
 }
 
@@ -68,7 +68,7 @@
         Ok(Self { epoll, events: Vec::with_capacity(AT_ONCE), drained: now })
     }
 
-    /// For the loop that sleeps: readable when a socket here is ready.
+    /// A descriptor for the event loop: readable when a socket here is ready.
     pub fn fd(&self) -> io::Result<OwnedFd> {
         self.epoll.try_clone()
     }
@@ -82,11 +82,11 @@
     }
 
     pub fn remove(&self, socket: impl AsFd) {
-        // It closes next; then the kernel forgets it anyway.
+        // The socket is closed next, which removes it anyway.
         let _ = epoll::delete(&self.epoll, socket);
     }
 
-    /// Processes that share a listener are not all woken for one connection.
+    /// Exclusive, so that one connection doesn't wake all processes that share a listener.
     pub fn add_listener(&self, socket: impl AsFd, number: usize) -> io::Result<()> {
         let data = EventData::new_u64(LISTENERS | number as u64);
         Ok(epoll::add(&self.epoll, socket, data, EventFlags::IN | EventFlags::EXCLUSIVE)?)
@@ -97,7 +97,8 @@
         Ok(epoll::add(&self.epoll, socket, data, EventFlags::IN)?)
     }
 
-    /// What is ready, without waiting, and the earliest time at which it can have become so.
+    /// Polls without blocking; gives the ready sockets and the earliest time at which each can have become
+    /// ready.
     pub fn look(&mut self, now: Micros, seen: &mut Vec<(Micros, Seen)>) -> io::Result<usize> {
         let zero = rustix::event::Timespec { tv_sec: 0, tv_nsec: 0 };
         self.events.clear();
@@ -128,7 +129,7 @@
         Ok(count)
     }
 
-    /// Looks only for connections that the other side has ended; all else that is ready stays unseen.
+    /// Polls only for connections that the peer has closed; other events stay pending.
     pub fn look_for_ends(&mut self, now: Micros, seen: &mut Vec<(Micros, Seen)>) -> io::Result<usize> {
         let (drained, before) = (self.drained, seen.len());
         self.look(now, seen)?;
@@ -138,7 +139,7 @@
         Ok(seen.len() - before)
     }
 
-    /// The loop slept until now with nothing ready here: what ended the sleep came at its end.
+    /// The event loop was idle until now with nothing ready here: what ended the sleep became ready then.
     pub fn slept(&mut self, until: Micros) {
         self.drained = self.drained.max(until.saturating_sub(WAKING));
     }
--- a/crates/transport/tests/hub.rs
+++ b/crates/transport/tests/hub.rs
@@ -1,4 +1,4 @@
-//! The hub alone: what it says of connections that never stood, of crowds, of closed ones.
+//! The hub alone: connections that fail or close, limits, timing of input and output.
 
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_connection_that_never_stood_gives_all_its_frames_back() {
+fn a_failed_connect_returns_all_frames_as_unsent() {
     let closed = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let mut hub = Hub::new(HubLimits::default()).unwrap();
     let connection = hub.connect(closed, Wire::Frames, 1_000_000);
@@ -40,12 +40,12 @@
 }
 
 #[test]
-fn a_connection_that_is_reset_at_once_stood_and_gives_its_frames_back() {
+fn a_connection_reset_at_once_counts_as_established_and_returns_its_frames() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut hub = Hub::new(HubLimits::default()).unwrap();
     let connection = hub.connect(listener.local_addr().unwrap(), Wire::Frames, 1_000_000);
     hub.send(connection, &probe(1), Some(1));
-    // The hub has not looked yet: it learns of the connection and of its end at the same time.
+    // The hub hasn't polled yet: it learns of the connection and of its end at once.
     let (peer, _) = listener.accept().unwrap();
     socket2::SockRef::from(&peer).set_linger(Some(Duration::ZERO)).unwrap();
     drop(peer);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_connection_that_stood_in_time_is_not_given_up_when_it_is_looked_at_late() {
+fn a_connection_established_in_time_survives_a_late_poll() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut hub = Hub::new(HubLimits::default()).unwrap();
     let connection = hub.connect(listener.local_addr().unwrap(), Wire::Frames, 50_000);
@@ -68,22 +68,23 @@
 }
 
 #[test]
-fn what_was_begun_leaves_only_after_the_guests_were_heard() {
+fn output_is_written_only_after_client_input_was_read() {
     let mut hub = Hub::new(HubLimits::default()).unwrap();
     let worker = TcpListener::bind("127.0.0.1:0").unwrap();
     let (_, address) = hub.listen("127.0.0.1:0".parse().unwrap(), Wire::Frames).unwrap();
     let own = hub.connect(worker.local_addr().unwrap(), Wire::Frames, 1_000_000);
-    let mut guest = TcpStream::connect(address).unwrap();
+    let mut client = TcpStream::connect(address).unwrap();
     let Notice::Opened(id, _) = next(&mut hub) else { panic!("a guest") };
     let mut bytes = Vec::new();
     encode(&probe(1), &mut bytes);
-    guest.write_all(&bytes).unwrap();
-    // It asks, something is begun for it, and the connection to the worker stands; all in one turn.
+    client.write_all(&bytes).unwrap();
+    // The client sends a request, output for a worker is queued, and the worker's connection is established;
+    // all in one iteration.
     while !matches!(next(&mut hub), Notice::Message(..)) {}
     assert!(hub.send(own, &probe(2), Some(2)));
     assert!(!hub.is_behind(10_000_000), "all was read just now");
     std::thread::sleep(Duration::from_millis(60));
-    drop(guest);
+    drop(client);
     assert!(hub.is_behind(50_000), "the last look was long ago");
     hub.hear().unwrap();
     assert!(matches!(hub.take_notice(), Some(Notice::Closed { connection, .. }) if connection == id));
@@ -93,7 +94,7 @@
 }
 
 #[test]
-fn after_a_long_turn_nothing_leaves_before_the_program_has_heard_the_news() {
+fn after_a_long_iteration_input_is_delivered_before_output_is_written() {
     let mut hub = Hub::new(HubLimits::default()).unwrap();
     hub.leave_within(50_000);
     let worker = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -101,11 +102,11 @@
     let own = hub.connect(worker.local_addr().unwrap(), Wire::Frames, 1_000_000);
     let socket = hub.datagrams(service.local_addr().unwrap()).unwrap();
     hub.send_datagram(socket, b"?");
-    let (_, asking) = service.recv_from(&mut [0]).unwrap();
+    let (_, query_address) = service.recv_from(&mut [0]).unwrap();
     assert!(matches!(next(&mut hub), Notice::Connected(which) if which == own));
     assert!(hub.send(own, &probe(1), Some(1)));
-    // The rest of the turn is long, and the news comes meanwhile.
-    service.send_to(b"news", asking).unwrap();
+    // The rest of the iteration is long, and a datagram arrives meanwhile.
+    service.send_to(b"news", query_address).unwrap();
     std::thread::sleep(Duration::from_millis(60));
     hub.wait(Some(0)).unwrap();
     assert!(
@@ -114,7 +115,7 @@
     assert_eq!(hub.sent(own, 1), Sent::Nothing, "what was begun can still be taken back");
     hub.wait(Some(0)).unwrap();
     assert_eq!(hub.sent(own, 1), Sent::Whole, "the turn after it is short");
-    // A program of which each turn is long goes on all the same.
+    // A program whose iterations are all long makes progress.
     for mark in 2..=3 {
         hub.send(own, &probe(1), Some(mark));
         std::thread::sleep(Duration::from_millis(60));
@@ -124,11 +125,11 @@
 }
 
 #[test]
-fn a_datagram_leaves_though_an_earlier_one_found_nobody() {
+fn a_datagram_is_sent_although_an_earlier_one_failed() {
     let mut hub = Hub::new(HubLimits::default()).unwrap();
     let address = std::net::UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let socket = hub.datagrams(address).unwrap();
-    // Nobody listens there: the system says so with the next one.
+    // The port is closed: the system reports it with the next datagram.
     hub.send_datagram(socket, b"1");
     std::thread::sleep(Duration::from_millis(20));
     let service = std::net::UdpSocket::bind(address).unwrap();
@@ -145,14 +146,14 @@
     let service = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
     let socket = hub.datagrams(service.local_addr().unwrap()).unwrap();
     hub.send_datagram(socket, b"?");
-    let (_, asking) = service.recv_from(&mut [0]).unwrap();
-    service.send_to(b"news", asking).unwrap();
+    let (_, query_address) = service.recv_from(&mut [0]).unwrap();
+    service.send_to(b"news", query_address).unwrap();
     hub.hear().unwrap();
     assert!(matches!(hub.take_notice(), Some(Notice::Datagram(of, _)) if of == socket));
 }
 
 #[test]
-fn frames_that_left_are_not_given_back() {
+fn sent_frames_are_not_returned_as_unsent() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut hub = Hub::new(HubLimits::default()).unwrap();
     let connection = hub.connect(listener.local_addr().unwrap(), Wire::Frames, 1_000_000);
@@ -205,7 +206,7 @@
 }
 
 #[test]
-fn a_crowd_beyond_the_bound_is_closed_and_those_inside_stay() {
+fn connections_beyond_the_limit_are_closed_and_others_stay() {
     let mut hub = Hub::new(HubLimits { accepted: 2, ..HubLimits::default() }).unwrap();
     let (_, at) = hub.listen("127.0.0.1:0".parse().unwrap(), Wire::Frames).unwrap();
     let mut peers: Vec<TcpStream> = (0..3).map(|_| TcpStream::connect(at).unwrap()).collect();
@@ -223,7 +224,7 @@
 }
 
 #[test]
-fn a_peer_that_never_reads_is_closed_at_the_bound() {
+fn a_peer_that_never_reads_is_closed_at_the_backlog_limit() {
     let mut hub = Hub::new(HubLimits { out: 1 << 20, ..HubLimits::default() }).unwrap();
     let (_, at) = hub.listen("127.0.0.1:0".parse().unwrap(), Wire::Frames).unwrap();
     let _peer = TcpStream::connect(at).unwrap();
@@ -251,12 +252,12 @@
     peer.write_all(&bytes).unwrap();
 }
 
-/// What a late reader is told of when a message came is never after it was written.
+/// The arrival time reported to a delayed reader is never later than the write.
 #[test]
-fn a_message_that_waited_unread_is_told_with_the_time_since_when_it_may_have_waited() {
+fn a_delayed_message_carries_its_earliest_arrival_time() {
     let mut hub = Hub::new(HubLimits::default()).unwrap();
     let (_, at) = hub.listen("127.0.0.1:0".parse().unwrap(), Wire::Frames).unwrap();
-    // While it waits to be accepted.
+    // While it waits in the listen queue.
     hub.pause_listening(true);
     hub.wait(Some(0)).unwrap();
     let mut peer = TcpStream::connect(at).unwrap();
@@ -267,7 +268,7 @@
     let Notice::Opened(connection, _) = next(&mut hub) else { panic!() };
     assert!(matches!(next(&mut hub), Notice::Message(_, Message::Probe { number: 1 })));
     assert!(hub.came() <= written, "{} after it was written", hub.came() - written);
-    // While guests are held.
+    // While accepted connections are paused.
     hub.hold_guests(true);
     let written = hub.clock().now();
     send(&mut peer, &probe(2));
@@ -289,7 +290,7 @@
     hub.pause(connection, false);
     assert!(matches!(next(&mut hub), Notice::Message(_, Message::Probe { number: 3 })));
     assert!(hub.came() <= written, "{} after it was written", hub.came() - written);
-    // While the program is busy with something else; and not before the last look, or all would be refused.
+    // While the program is busy; and not before the last poll, or all requests would be rejected.
     let before = hub.clock().now();
     hub.wait(Some(0)).unwrap();
     let written = hub.clock().now();
@@ -300,7 +301,7 @@
 }
 
 #[test]
-fn half_messages_are_told_to_who_asked_and_a_unix_socket_serves_as_well() {
+fn incomplete_messages_are_reported_if_enabled_and_unix_sockets_work() {
     let mut hub = Hub::new(HubLimits::default()).unwrap();
     hub.tell_halves();
     let (_, at) = hub.listen("127.0.0.1:0".parse().unwrap(), Wire::Frames).unwrap();
@@ -308,19 +309,19 @@
     let trunk = hub.adopt(ours.into(), Wire::Frames).unwrap();
     send(&mut other, &probe(5));
     assert!(matches!(next(&mut hub), Notice::Message(c, Message::Probe { number: 5 }) if c == trunk));
-    // What is half there on a peer of this side is nobody's business.
+    // Incomplete messages of own connections are not reported.
     other.write_all(&[0, 0, 0]).unwrap();
-    let mut guest = TcpStream::connect(at).unwrap();
+    let mut client = TcpStream::connect(at).unwrap();
     let Notice::Opened(connection, _) = next(&mut hub) else { panic!() };
-    guest.write_all(&[0, 0, 0]).unwrap();
+    client.write_all(&[0, 0, 0]).unwrap();
     assert!(matches!(next(&mut hub), Notice::Half(c, 3) if c == connection));
     assert!(hub.midway(connection));
     drop(other);
     assert!(matches!(next(&mut hub), Notice::Closed { guest: false, never_stood: false, .. }));
 }
 
-/// The peer's connection to a new hub, as each of them sees it.
-fn guest() -> (Hub, TcpStream, u64) {
+/// A client connection to a new hub, as seen by both sides.
+fn client() -> (Hub, TcpStream, u64) {
     let mut hub = Hub::new(HubLimits::default()).unwrap();
     let (_, at) = hub.listen("127.0.0.1:0".parse().unwrap(), Wire::Frames).unwrap();
     let peer = TcpStream::connect(at).unwrap();
@@ -329,8 +330,8 @@
 }
 
 #[test]
-fn the_end_of_a_guest_is_told_though_guests_are_held_and_what_others_sent_waits() {
-    let (mut hub, mut peer, connection) = guest();
+fn the_end_of_an_accepted_connection_is_reported_while_they_are_paused() {
+    let (mut hub, mut peer, connection) = client();
     let mut other = TcpStream::connect(peer.peer_addr().unwrap()).unwrap();
     let Notice::Opened(..) = next(&mut hub) else { panic!() };
     hub.hold_guests(true);
@@ -357,8 +358,8 @@
 }
 
 #[test]
-fn the_end_of_a_paused_guest_that_closes_one_side_is_told() {
-    let (mut hub, mut peer, connection) = guest();
+fn a_half_close_of_a_paused_connection_is_reported() {
+    let (mut hub, mut peer, connection) = client();
     hub.pause(connection, true);
     send(&mut peer, &probe(1));
     peer.shutdown(std::net::Shutdown::Write).unwrap();
