--- a/crates/transport/src/hub.rs
+++ b/crates/transport/src/hub.rs
@@ -20,22 +20,22 @@
 use listeners::{ACCEPT_AT_ONCE, Listener};
 
 use crate::Clock;
-use crate::out::{Out, Sent};
-use crate::watch::{AT_ONCE, Ready, Seen, Wanted, Watch};
+use crate::out::{OutputBuffer, Sent};
+use crate::watch::{MAX_EVENTS, PollEvent, PollInterest, Poller, Readiness};
 
 /// Identifies a connection by its slot (20 bits) and a serial number (28 bits), so that an id is not reused
 /// before 268 million others. The upper 16 bits are 0, for programs that combine several hubs.
 pub type Connection = u64;
 
 const SLOT_BITS: u32 = 20;
-const SERIALS: u32 = 1 << 28;
+const SERIAL_COUNT: u32 = 1 << 28;
 
 /// The slot of a connection: a small, dense, reused index for tables beside the hub's.
 pub fn slot(connection: Connection) -> usize {
     (connection & ((1 << SLOT_BITS) - 1)) as usize
 }
 
-fn named(serial: u32, slot: usize) -> Connection {
+fn connection_id(serial: u32, slot: usize) -> Connection {
     u64::from(serial) << SLOT_BITS | slot as u64
 }
 
@@ -116,21 +116,21 @@
 }
 
 /// State of an active connection; an idle one has none.
-struct Work {
+struct ActiveState {
     decode: Decode,
-    out: Out,
+    out: OutputBuffer,
     /// Deadline for the connection to be established, or for the peer to close it.
-    until: Option<Micros>,
+    deadline: Option<Micros>,
 }
 
-impl Work {
+impl ActiveState {
     fn is_idle(&self) -> bool {
         let decoded = match &self.decode {
             Decode::Frames(decoder) => decoder.is_idle(),
             Decode::Http(decoder) => decoder.is_idle(),
             Decode::Raw(bytes) => bytes.is_empty(),
         };
-        decoded && self.out.is_empty() && self.until.is_none()
+        decoded && self.out.is_empty() && self.deadline.is_none()
     }
 }
 
@@ -148,52 +148,52 @@
     readable: bool,
     writable: bool,
     paused: bool,
-    tell_flushed: bool,
+    notify_flushed: bool,
     close_when_flushed: bool,
     /// Queued for the next iteration.
     queued: bool,
     /// The events that it is polled for.
-    interest: Wanted,
+    interest: PollInterest,
     /// The earliest time at which the next bytes read can have arrived.
-    since: Micros,
+    earliest_arrival: Micros,
     /// The peer closed it or it failed: the end follows the bytes that can still be read.
     ended: bool,
     /// All received bytes were read and it is polled for more: the next bytes arrived after the last poll.
     drained: bool,
-    work: Option<Box<Work>>,
+    work: Option<Box<ActiveState>>,
 }
 
 impl Conn {
     /// Whether received bytes are to be read.
-    fn wants_to_read(&self) -> bool {
+    fn wants_input(&self) -> bool {
         let wanted = self.lingering || (!self.paused && !self.close_when_flushed);
         !self.connecting && wanted
     }
 
     fn reads(&self) -> bool {
-        self.readable && self.wants_to_read()
+        self.readable && self.wants_input()
     }
 
     /// The events to poll for. The end of a paused connection is reported: its client no longer waits for its
     /// answers.
-    fn wanted(&self) -> Wanted {
+    fn wanted(&self) -> PollInterest {
         let end = self.paused && !self.connecting && !self.close_when_flushed;
-        Wanted { read: self.wants_to_read(), write: !self.writable, end }
+        PollInterest { read: self.wants_input(), write: !self.writable, end }
     }
 
-    fn work(&mut self, limits: &HubLimits) -> &mut Work {
+    fn work(&mut self, limits: &HubLimits) -> &mut ActiveState {
         self.work.get_or_insert_with(|| {
             let decode = match self.wire {
                 Wire::Frames => Decode::Frames(Decoder::new(limits.frame)),
                 Wire::Http => Decode::Http(http::Decoder::new(limits.http)),
                 Wire::Raw => Decode::Raw(Vec::new()),
             };
-            Box::new(Work { decode, out: Out::default(), until: None })
+            Box::new(ActiveState { decode, out: OutputBuffer::default(), deadline: None })
         })
     }
 
     /// Whether output is left for a later iteration, given whether own connections may be written.
-    fn is_left_over(&self, write: bool) -> bool {
+    fn has_output_left(&self, write: bool) -> bool {
         let ends = self.close_when_flushed && !self.lingering;
         let writes = self.writable && !self.connecting && (self.unsent() > 0 || ends);
         !self.accepted && writes && !write
@@ -203,21 +203,21 @@
         self.work.as_ref().map_or(0, |work| work.out.len())
     }
 
-    fn until(&self) -> Option<Micros> {
-        self.work.as_ref().and_then(|work| work.until)
+    fn deadline(&self) -> Option<Micros> {
+        self.work.as_ref().and_then(|work| work.deadline)
     }
 }
 
 /// Which connections are written in an iteration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Writing {
+enum WriteScope {
     /// Accepted connections, and the program's own until this time.
     Until(Micros),
     /// Accepted connections only.
-    Guests,
+    AcceptedOnly,
 }
 
-impl Writing {
+impl WriteScope {
     fn allows_own(self, now: Micros) -> bool {
         matches!(self, Self::Until(end) if now <= end)
     }
@@ -227,17 +227,17 @@
     fn latest(self, over: Micros) -> Micros {
         match self {
             Self::Until(end) => end.min(over),
-            Self::Guests => over,
+            Self::AcceptedOnly => over,
         }
     }
 }
 
 /// Bytes read from one connection at once.
-const READ_AT_ONCE: usize = 64 << 10;
+const READ_CHUNK: usize = 64 << 10;
 /// After a read of this size more may follow at once: the sender's window was full and opens with the read.
-const READ_LONG: usize = READ_AT_ONCE / 2;
+const LARGE_READ: usize = READ_CHUNK / 2;
 /// Maximum reads at once of a connection that the peer has closed.
-const LAST_READS: u32 = 4;
+const MAX_FINAL_READS: u32 = 4;
 /// How long a finished connection waits for the peer to close.
 const LINGER: Micros = 500_000;
 const FINISHED: &str = "finished";
@@ -245,9 +245,9 @@
 pub const ENDED: &str = "closed by the other side";
 /// A wake-up this much too late shows that the process was paused, not only asleep: what is ready then may
 /// have arrived at any time since the sleep began.
-const STOOD_STILL: Micros = 20_000;
+const PAUSE_THRESHOLD: Micros = 20_000;
 /// Maximum interval between checks for signals, however busy the sockets are.
-const LOOP_AT_LEAST: Micros = 5_000;
+const MAX_LOOP_INTERVAL: Micros = 5_000;
 
 #[derive(Default)]
 struct Woken {
@@ -266,32 +266,32 @@
     listeners: Vec<Listener>,
     datagrams: Slab<UdpSocket>,
     /// Accepted sockets and listeners.
-    guests: Watch,
-    guests_source: RegistrationToken,
+    accepted_poller: Poller,
+    accepted_source: RegistrationToken,
     /// Sockets that this side opened or adopted.
-    own: Watch,
+    own_poller: Poller,
     /// Accepted connections are left waiting in the kernel.
-    held: bool,
-    halves: bool,
+    accepted_paused: bool,
+    report_incomplete: bool,
     accept_at_once: usize,
-    looped: Micros,
-    accept_again: Option<Micros>,
+    last_event_loop: Micros,
+    accept_resume_at: Option<Micros>,
     /// Connections to read or write in the next iteration.
-    turn: Vec<Connection>,
+    ready_queue: Vec<Connection>,
     /// When accepted connections were polled last, and whether more of them may have had input.
-    heard: Micros,
-    heard_in_part: bool,
+    last_polled: Micros,
+    polled_in_part: bool,
     /// Maximum age of the last poll at which output is sent on own connections.
-    leaves_within: Option<Micros>,
+    write_window: Option<Micros>,
     /// The last call of `wait` sent nothing on own connections, as the last poll was too old.
-    skipped: bool,
+    write_skipped: bool,
     /// When own connections were written last.
-    wrote: Micros,
+    last_write: Micros,
     /// Deadlines of connecting and lingering connections.
-    due: BTreeSet<(Micros, Connection)>,
+    deadlines: BTreeSet<(Micros, Connection)>,
     notices: VecDeque<(Micros, Notice)>,
-    came: Micros,
-    seen: Vec<(Micros, Seen)>,
+    notice_arrival: Micros,
+    poll_events: Vec<(Micros, PollEvent)>,
     scratch: Vec<u8>,
     /// How often accepting paused for lack of descriptors.
     pub starved: u64,
@@ -299,7 +299,7 @@
     pub turned_away: u64,
 }
 
-fn source(handle: &LoopHandle<'static, Woken>, watch: &Watch) -> io::Result<RegistrationToken> {
+fn source(handle: &LoopHandle<'static, Woken>, watch: &Poller) -> io::Result<RegistrationToken> {
     let source = Generic::new(watch.fd()?, Interest::READ, Mode::Level);
     handle.insert_source(source, |_, _, _| Ok(PostAction::Continue)).map_err(|e| io::Error::other(e.error))
 }
@@ -314,9 +314,9 @@
         let event_loop = EventLoop::try_new().map_err(io::Error::other)?;
         let handle = event_loop.handle();
         let now = clock.now();
-        let (guests, own) = (Watch::new(now)?, Watch::new(now)?);
-        let guests_source = source(&handle, &guests)?;
-        source(&handle, &own)?;
+        let (accepted_poller, own_poller) = (Poller::new(now)?, Poller::new(now)?);
+        let accepted_source = source(&handle, &accepted_poller)?;
+        source(&handle, &own_poller)?;
         Ok(Self {
             event_loop,
             handle,
@@ -327,25 +327,25 @@
             accepted: 0,
             listeners: Vec::new(),
             datagrams: Slab::new(),
-            guests,
-            guests_source,
-            own,
-            held: false,
-            halves: false,
+            accepted_poller,
+            accepted_source,
+            own_poller,
+            accepted_paused: false,
+            report_incomplete: false,
             accept_at_once: ACCEPT_AT_ONCE,
-            looped: 0,
-            accept_again: None,
-            turn: Vec::new(),
-            heard: now,
-            heard_in_part: false,
-            leaves_within: None,
-            skipped: false,
-            wrote: now,
-            due: BTreeSet::new(),
+            last_event_loop: 0,
+            accept_resume_at: None,
+            ready_queue: Vec::new(),
+            last_polled: now,
+            polled_in_part: false,
+            write_window: None,
+            write_skipped: false,
+            last_write: now,
+            deadlines: BTreeSet::new(),
             notices: VecDeque::new(),
-            came: now,
-            seen: Vec::new(),
-            scratch: vec![0; READ_AT_ONCE],
+            notice_arrival: now,
+            poll_events: Vec::new(),
+            scratch: vec![0; READ_CHUNK],
             starved: 0,
             turned_away: 0,
         })
@@ -360,8 +360,8 @@
     pub fn set_clock(&mut self, clock: Clock) {
         let now = clock.now();
         self.clock = clock;
-        self.looped = 0;
-        (self.own.drained, self.guests.drained) = (now, now);
+        self.last_event_loop = 0;
+        (self.own_poller.drained, self.accepted_poller.drained) = (now, now);
     }
 
     /// Changes the limits; partly read frames keep the old ones.
@@ -384,27 +384,27 @@
     /// call of [`Hub::wait`] in a row holds output back, so a program whose iterations are all longer makes
     /// progress.
     pub fn leave_within(&mut self, span: Micros) {
-        self.leaves_within = Some(span);
+        self.write_window = Some(span);
     }
 
     /// Enables [`Notice::Half`].
     pub fn tell_halves(&mut self) {
-        self.halves = true;
+        self.report_incomplete = true;
     }
 
     /// Leaves all accepted and new connections waiting in the kernel, or resumes them. Output to them waits
     /// too, unless it can be written at once.
-    pub fn hold_guests(&mut self, held: bool) {
-        if self.held == held {
+    pub fn hold_guests(&mut self, paused: bool) {
+        if self.accepted_paused == paused {
             return;
         }
-        self.held = held;
-        let done = match held {
-            true => self.handle.disable(&self.guests_source),
-            false => self.handle.enable(&self.guests_source),
+        self.accepted_paused = paused;
+        let done = match paused {
+            true => self.handle.disable(&self.accepted_source),
+            false => self.handle.enable(&self.accepted_source),
         };
         if let Err(error) = done {
-            tracing::error!(%error, "guests can't be held");
+            tracing::error!(%error, "cannot pause or resume accepted connections");
         }
     }
 
@@ -423,7 +423,7 @@
         within: Micros,
     ) -> Connection {
         let due = self.clock.now().saturating_add(within);
-        let begun = || -> io::Result<Socket> {
+        let connecting_socket = || -> io::Result<Socket> {
             let domain = socket2::Domain::for_address(address);
             let socket = Socket::new(domain, socket2::Type::STREAM, None)?;
             socket.set_nonblocking(true)?;
@@ -438,20 +438,20 @@
             }
             Ok(socket)
         };
-        let begun = begun().and_then(|socket| self.add(socket, wire, false, true));
-        match begun {
+        let connecting_socket = connecting_socket().and_then(|socket| self.add(socket, wire, false, true));
+        match connecting_socket {
             Ok(id) => {
                 let limits = self.limits;
-                if let Some(conn) = self.get(id) {
-                    conn.work(&limits).until = Some(due);
+                if let Some(conn) = self.get_mut(id) {
+                    conn.work(&limits).deadline = Some(due);
                 }
-                self.due.insert((due, id));
+                self.deadlines.insert((due, id));
                 id
             }
             Err(error) => {
-                let connection = named(self.next_serial(), (1 << SLOT_BITS) - 1);
+                let connection = connection_id(self.next_serial(), (1 << SLOT_BITS) - 1);
                 let (unsent, why) = (Vec::new(), error.to_string());
-                self.tell(Notice::Closed { connection, guest: false, never_stood: true, unsent, why });
+                self.notify(Notice::Closed { connection, guest: false, never_stood: true, unsent, why });
                 connection
             }
         }
@@ -465,7 +465,7 @@
     }
 
     fn next_serial(&mut self) -> u32 {
-        self.serial = (self.serial + 1) % SERIALS;
+        self.serial = (self.serial + 1) % SERIAL_COUNT;
         self.serial
     }
 
@@ -480,11 +480,11 @@
         let entry = self.conns.vacant_entry();
         let slot = entry.key();
         if slot >= (1 << SLOT_BITS) - 1 {
-            return Err(io::Error::other("more connections than can be named"));
+            return Err(io::Error::other("too many open connections"));
         }
-        let id = named(serial, slot);
-        let watch = if accepted { &self.guests } else { &self.own };
-        let interest = Wanted { read: !connecting, write: connecting, end: false };
+        let id = connection_id(serial, slot);
+        let watch = if accepted { &self.accepted_poller } else { &self.own_poller };
+        let interest = PollInterest { read: !connecting, write: connecting, end: false };
         watch.add(&socket, id, interest)?;
         entry.insert(Conn {
             socket,
@@ -496,11 +496,11 @@
             readable: false,
             writable: !connecting,
             paused: false,
-            tell_flushed: false,
+            notify_flushed: false,
             close_when_flushed: false,
             queued: false,
             interest,
-            since: self.clock.now(),
+            earliest_arrival: self.clock.now(),
             ended: false,
             drained: false,
             work: None,
@@ -508,34 +508,34 @@
         Ok(id)
     }
 
-    fn get(&mut self, id: Connection) -> Option<&mut Conn> {
-        self.conns.get_mut(slot(id)).filter(|c| named(c.serial, slot(id)) == id)
+    fn get_mut(&mut self, id: Connection) -> Option<&mut Conn> {
+        self.conns.get_mut(slot(id)).filter(|c| connection_id(c.serial, slot(id)) == id)
     }
 
-    fn see(&self, id: Connection) -> Option<&Conn> {
-        self.conns.get(slot(id)).filter(|c| named(c.serial, slot(id)) == id)
+    fn get_ref(&self, id: Connection) -> Option<&Conn> {
+        self.conns.get(slot(id)).filter(|c| connection_id(c.serial, slot(id)) == id)
     }
 
-    fn tell(&mut self, notice: Notice) {
-        self.tell_since(self.clock.now(), notice);
+    fn notify(&mut self, notice: Notice) {
+        self.notify_since(self.clock.now(), notice);
     }
 
-    fn tell_since(&mut self, since: Micros, notice: Notice) {
+    fn notify_since(&mut self, since: Micros, notice: Notice) {
         self.notices.push_back((since, notice));
     }
 
     /// Queues a connection for the next iteration.
-    fn queue(&mut self, id: Connection) {
-        if let Some(conn) = self.get(id)
+    fn enqueue(&mut self, id: Connection) {
+        if let Some(conn) = self.get_mut(id)
             && !std::mem::replace(&mut conn.queued, true)
         {
-            self.turn.push(id);
+            self.ready_queue.push(id);
         }
     }
 
     /// Whether a connection is still open.
     pub fn is_open(&self, id: Connection) -> bool {
-        self.see(id).is_some()
+        self.get_ref(id).is_some()
     }
 
     /// The number of open connections.
@@ -545,22 +545,22 @@
 
     /// The address of the peer.
     pub fn peer(&self, id: Connection) -> Option<SocketAddr> {
-        self.see(id)?.socket.peer_addr().ok()?.as_socket()
+        self.get_ref(id)?.socket.peer_addr().ok()?.as_socket()
     }
 
     /// The output backlog of a connection, in bytes.
     pub fn backlog(&self, id: Connection) -> usize {
-        self.see(id).map_or(0, Conn::unsent)
+        self.get_ref(id).map_or(0, Conn::unsent)
     }
 
     /// Whether a frame or request is partly received.
     pub fn midway(&self, id: Connection) -> bool {
-        self.held(id) > 0
+        self.buffered_bytes(id) > 0
     }
 
     /// Bytes buffered of an incomplete frame or request; at least one if there is one.
-    fn held(&self, id: Connection) -> usize {
-        match self.see(id).and_then(|conn| conn.work.as_ref()).map(|work| &work.decode) {
+    fn buffered_bytes(&self, id: Connection) -> usize {
+        match self.get_ref(id).and_then(|conn| conn.work.as_ref()).map(|work| &work.decode) {
             Some(Decode::Frames(decoder)) => decoder.held(),
             Some(Decode::Http(decoder)) => decoder.held().max(usize::from(decoder.midway())),
             Some(Decode::Raw(_)) | None => 0,
@@ -581,51 +581,51 @@
     /// Sends the output of `write` as one frame; [`Hub::sent`] tells by the mark whether it was sent.
     pub fn write(&mut self, id: Connection, mark: Option<u64>, write: impl FnOnce(&mut Vec<u8>)) -> bool {
         let limits = self.limits;
-        let Some(conn) = self.get(id).filter(|c| !c.close_when_flushed) else { return false };
+        let Some(conn) = self.get_mut(id).filter(|c| !c.close_when_flushed) else { return false };
         let out = &mut conn.work(&limits).out;
         out.push(mark, write);
         if out.len() > limits.out {
             self.close(id, "too much waits to be written");
             return false;
         }
-        self.queue(id);
+        self.enqueue(id);
         true
     }
 
     /// Withdraws a marked frame if no byte of it was sent.
     pub fn withdraw(&mut self, id: Connection, mark: u64) -> bool {
-        self.get(id).and_then(|conn| conn.work.as_mut()).is_some_and(|work| work.out.withdraw(mark))
+        self.get_mut(id).and_then(|conn| conn.work.as_mut()).is_some_and(|work| work.out.withdraw(mark))
     }
 
     /// How much of a marked frame was sent.
     pub fn sent(&self, id: Connection, mark: u64) -> Sent {
-        let work = self.see(id).and_then(|conn| conn.work.as_ref());
+        let work = self.get_ref(id).and_then(|conn| conn.work.as_ref());
         work.map_or(Sent::Whole, |work| work.out.sent(mark))
     }
 
     /// Pauses or resumes reading a connection, which makes its sender wait.
     pub fn pause(&mut self, id: Connection, paused: bool) {
         let now = self.clock.now();
-        if let Some(conn) = self.get(id) {
+        if let Some(conn) = self.get_mut(id) {
             conn.paused = paused;
             if std::mem::take(&mut conn.drained) {
-                conn.since = now;
+                conn.earliest_arrival = now;
             }
-            self.queue(id);
+            self.enqueue(id);
         }
     }
 
     /// Requests [`Notice::Flushed`] once the output backlog of a connection is written, whether it is paused
     /// or not.
     pub fn tell_flushed(&mut self, id: Connection) {
-        self.get(id).into_iter().for_each(|conn| conn.tell_flushed = true);
+        self.get_mut(id).into_iter().for_each(|conn| conn.notify_flushed = true);
     }
 
     /// Reads a connection. True if nothing was received and no notice of it is pending, so that closing it
     /// loses nothing that the peer sent. Closing with unread bytes would lose them and reset the connection.
     pub fn is_quiet(&mut self, id: Connection) -> bool {
-        self.get(id).into_iter().for_each(|conn| conn.readable = true);
-        self.read_in(id);
+        self.get_mut(id).into_iter().for_each(|conn| conn.readable = true);
+        self.read_available(id);
         let waits = |notice: &Notice| match notice {
             Notice::Message(of, _) | Notice::Bytes(of, _) | Notice::Request(of, _) => *of == id,
             Notice::BadRequest(of, _) | Notice::Closed { connection: of, .. } => *of == id,
@@ -637,28 +637,28 @@
 
     /// Closes a connection once its output is written. Its only further notice is `Closed`.
     pub fn finish(&mut self, id: Connection) {
-        if let Some(conn) = self.get(id) {
+        if let Some(conn) = self.get_mut(id) {
             conn.close_when_flushed = true;
-            self.queue(id);
+            self.enqueue(id);
         }
     }
 
     /// Closes a connection at once.
     pub fn close(&mut self, id: Connection, why: &str) {
-        if self.get(id).is_none() {
+        if self.get_mut(id).is_none() {
             return;
         }
         let conn = self.conns.remove(slot(id));
-        conn.until().into_iter().for_each(|due| _ = self.due.remove(&(due, id)));
+        conn.deadline().into_iter().for_each(|due| _ = self.deadlines.remove(&(due, id)));
         if conn.accepted {
             self.accepted -= 1;
-            self.guests.remove(&conn.socket);
+            self.accepted_poller.remove(&conn.socket);
         } else {
-            self.own.remove(&conn.socket);
+            self.own_poller.remove(&conn.socket);
         }
         let unsent = conn.work.map_or_else(Vec::new, |work| work.out.unsent());
         let (guest, never_stood, why) = (conn.accepted, conn.connecting, why.to_owned());
-        self.tell(Notice::Closed { connection: id, guest, never_stood, unsent, why });
+        self.notify(Notice::Closed { connection: id, guest, never_stood, unsent, why });
     }
 
     /// Writes pending output, then waits for events, until `until` at the latest.
@@ -666,16 +666,17 @@
     /// Output that becomes possible on own connections meanwhile is written by the next call: before that,
     /// the program sees what its clients sent and may withdraw unsent frames. See [`Hub::leave_within`].
     pub fn wait(&mut self, until: Option<Micros>) -> io::Result<()> {
-        let writing = self.own_writing();
-        self.turns(writing);
-        self.wrote = writing.latest(self.clock.now());
+        let scope = self.write_scope();
+        self.process_ready(scope);
+        self.last_write = scope.latest(self.clock.now());
         // What is ready before any sleep became so since the last poll; what ends the sleep arrived then.
-        let mut found = self.look()?;
+        let mut found = self.poll()?;
         let now = self.clock.now();
-        if found == 0 || now.saturating_sub(self.looped) > LOOP_AT_LEAST {
-            let timers = self.due.first().map(|(at, _)| *at).into_iter().chain(self.accept_again);
+        if found == 0 || now.saturating_sub(self.last_event_loop) > MAX_LOOP_INTERVAL {
+            let timers = self.deadlines.first().map(|(at, _)| *at).into_iter().chain(self.accept_resume_at);
             let until = until.into_iter().chain(timers).min();
-            let busy = found > 0 || !self.notices.is_empty() || !self.turn.is_empty() || self.accepting();
+            let busy =
+                found > 0 || !self.notices.is_empty() || !self.ready_queue.is_empty() || self.accepting();
             let timeout = match until {
                 _ if busy => Some(Duration::ZERO),
                 Some(at) => Some(Duration::from_micros(at.saturating_sub(now))),
@@ -687,36 +688,39 @@
                 other => other.map_err(io::Error::other)?,
             }
             let woke = self.clock.now();
-            self.looped = woke;
-            woken.signals.into_iter().for_each(|signal| self.tell(Notice::Signal(signal)));
-            let stood_still = until.is_some_and(|at| at.max(now).saturating_add(STOOD_STILL) < woke);
-            if found == 0 && !busy && !stood_still {
-                self.own.slept(woke);
-                if !self.held {
-                    self.guests.slept(woke);
-                    self.listeners.iter_mut().filter(|l| !l.paused && !l.ready).for_each(|l| l.slept(woke));
+            self.last_event_loop = woke;
+            woken.signals.into_iter().for_each(|signal| self.notify(Notice::Signal(signal)));
+            let was_paused = until.is_some_and(|at| at.max(now).saturating_add(PAUSE_THRESHOLD) < woke);
+            if found == 0 && !busy && !was_paused {
+                self.own_poller.idle_until(woke);
+                if !self.accepted_paused {
+                    self.accepted_poller.idle_until(woke);
+                    self.listeners
+                        .iter_mut()
+                        .filter(|l| !l.paused && !l.ready)
+                        .for_each(|l| l.idle_until(woke));
                 }
             }
             if found == 0 {
-                found = self.look()?;
+                found = self.poll()?;
             }
         }
-        let mut seen = std::mem::take(&mut self.seen);
+        let mut seen = std::mem::take(&mut self.poll_events);
         if found > 0 {
-            seen.drain(..).for_each(|(since, what)| self.ready(since, what));
+            seen.drain(..).for_each(|(since, what)| self.handle_event(since, what));
         }
-        self.seen = seen;
+        self.poll_events = seen;
         let now = self.clock.now();
-        if self.accept_again.is_some_and(|at| at <= now) {
-            self.starve(None);
+        if self.accept_resume_at.is_some_and(|at| at <= now) {
+            self.pause_accepting(None);
         }
-        if self.accept_again.is_none() && !self.held {
+        if self.accept_resume_at.is_none() && !self.accepted_paused {
             (0..self.listeners.len()).for_each(|number| self.accept(number));
         }
-        self.turns(Writing::Guests);
+        self.process_ready(WriteScope::AcceptedOnly);
         // Only after polling: a connection established in time is not closed because of a late check.
-        while let Some((_, id)) = self.due.first().filter(|(at, _)| *at <= now).copied() {
-            let lingered = self.get(id).is_some_and(|conn| conn.lingering);
+        while let Some((_, id)) = self.deadlines.first().filter(|(at, _)| *at <= now).copied() {
+            let lingered = self.get_mut(id).is_some_and(|conn| conn.lingering);
             self.close(id, if lingered { FINISHED } else { "no connection in time" });
         }
         Ok(())
@@ -725,129 +729,130 @@
     /// The latest time at which [`Hub::wait`] can have written to own connections. With
     /// [`Hub::leave_within`], a process that is paused within an iteration writes nothing to them afterwards.
     pub fn wrote(&self) -> Micros {
-        self.wrote
+        self.last_write
     }
 
     /// Until when own connections may be written in this iteration.
-    fn own_writing(&mut self) -> Writing {
-        let Some(span) = self.leaves_within else { return Writing::Until(Micros::MAX) };
-        let end = self.heard.saturating_add(span);
-        self.skipped = !self.skipped && end < self.clock.now();
-        match (self.skipped, end < self.clock.now()) {
-            (true, _) => Writing::Guests,
-            (false, true) => Writing::Until(Micros::MAX),
-            (false, false) => Writing::Until(end),
+    fn write_scope(&mut self) -> WriteScope {
+        let Some(span) = self.write_window else { return WriteScope::Until(Micros::MAX) };
+        let end = self.last_polled.saturating_add(span);
+        self.write_skipped = !self.write_skipped && end < self.clock.now();
+        match (self.write_skipped, end < self.clock.now()) {
+            (true, _) => WriteScope::AcceptedOnly,
+            (false, true) => WriteScope::Until(Micros::MAX),
+            (false, false) => WriteScope::Until(end),
         }
     }
 
     /// Whether accepted connections may have unread input: the last poll is older than `span`, or found more
     /// than could be read, or so much that more may follow.
     pub fn is_behind(&self, span: Micros) -> bool {
-        let reads = |id: &Connection| self.see(*id).is_some_and(|conn| conn.accepted && conn.reads());
-        let late = self.heard.saturating_add(span) < self.clock.now();
-        !self.held && (late || self.heard_in_part || self.turn.iter().any(reads))
+        let reads = |id: &Connection| self.get_ref(*id).is_some_and(|conn| conn.accepted && conn.reads());
+        let late = self.last_polled.saturating_add(span) < self.clock.now();
+        !self.accepted_paused && (late || self.polled_in_part || self.ready_queue.iter().any(reads))
     }
 
     /// Reads the input of accepted connections and datagrams without blocking; writes and accepts nothing.
     pub fn hear(&mut self) -> io::Result<()> {
         let sockets: Vec<usize> = self.datagrams.iter().map(|(number, _)| number).collect();
         sockets.into_iter().for_each(|number| self.read_datagrams(number));
-        if self.held {
+        if self.accepted_paused {
             return Ok(());
         }
-        let mut seen = std::mem::take(&mut self.seen);
-        self.look_at_guests(self.clock.now(), &mut seen)?;
-        seen.drain(..).for_each(|(since, what)| self.ready(since, what));
-        self.seen = seen;
+        let mut seen = std::mem::take(&mut self.poll_events);
+        self.poll_accepted(self.clock.now(), &mut seen)?;
+        seen.drain(..).for_each(|(since, what)| self.handle_event(since, what));
+        self.poll_events = seen;
         // They stay queued: output to them is written later.
-        let is_guest = |id: &Connection| self.see(*id).is_some_and(|conn| conn.accepted);
-        let guests: Vec<Connection> = self.turn.iter().copied().filter(is_guest).collect();
-        guests.into_iter().for_each(|id| self.read_in(id));
+        let is_guest = |id: &Connection| self.get_ref(*id).is_some_and(|conn| conn.accepted);
+        let guests: Vec<Connection> = self.ready_queue.iter().copied().filter(is_guest).collect();
+        guests.into_iter().for_each(|id| self.read_available(id));
         Ok(())
     }
 
-    fn look_at_guests(&mut self, now: Micros, seen: &mut Vec<(Micros, Seen)>) -> io::Result<usize> {
-        if self.held {
+    fn poll_accepted(&mut self, now: Micros, seen: &mut Vec<(Micros, PollEvent)>) -> io::Result<usize> {
+        if self.accepted_paused {
             return Ok(0);
         }
-        let found = self.guests.look(now, seen)?;
-        (self.heard, self.heard_in_part) = (now, found == AT_ONCE);
+        let found = self.accepted_poller.poll(now, seen)?;
+        (self.last_polled, self.polled_in_part) = (now, found == MAX_EVENTS);
         Ok(found)
     }
 
     /// Polls the sockets without blocking, the program's own first.
-    fn look(&mut self) -> io::Result<usize> {
+    fn poll(&mut self) -> io::Result<usize> {
         let now = self.clock.now();
-        let mut seen = std::mem::take(&mut self.seen);
-        let own = self.own.look(now, &mut seen);
+        let mut seen = std::mem::take(&mut self.poll_events);
+        let own = self.own_poller.poll(now, &mut seen);
         // The end of a connection is reported even while accepted connections are paused: its client no
         // longer waits for its answers.
-        let guests = match self.held {
+        let guests = match self.accepted_paused {
             true => {
-                self.heard = now;
-                self.guests.look_for_ends(now, &mut seen)
+                self.last_polled = now;
+                self.accepted_poller.poll_hangups(now, &mut seen)
             }
-            false => self.look_at_guests(now, &mut seen),
+            false => self.poll_accepted(now, &mut seen),
         };
-        self.seen = seen;
+        self.poll_events = seen;
         Ok(own? + guests?)
     }
 
-    fn ready(&mut self, since: Micros, what: Seen) {
-        let (id, Ready { readable, writable, ended, broken }) = match what {
-            Seen::Connection(id, ready) => (id, ready),
-            Seen::Listener(number) => {
+    fn handle_event(&mut self, since: Micros, what: PollEvent) {
+        let (id, Readiness { readable, writable, ended, broken }) = match what {
+            PollEvent::Connection(id, ready) => (id, ready),
+            PollEvent::Listener(number) => {
                 self.listeners.get_mut(number).into_iter().for_each(|listener| listener.ready = true);
                 return;
             }
-            Seen::Datagrams(number) => return self.read_datagrams(number),
+            PollEvent::Datagrams(number) => return self.read_datagrams(number),
         };
-        let Some(conn) = self.get(id) else { return };
+        let Some(conn) = self.get_mut(id) else { return };
         if !conn.interest.read && (broken || conn.interest.end && ended) && !conn.connecting {
             // Not polled for input, so this is the end: the peer closed the connection or it failed.
             return self.close(id, "hung up");
         }
         if std::mem::take(&mut conn.drained) {
-            conn.since = since;
+            conn.earliest_arrival = since;
         }
         conn.readable |= readable;
         conn.writable |= writable;
         conn.ended |= ended;
-        self.queue(id);
+        self.enqueue(id);
     }
 
     /// The next event.
     pub fn take_notice(&mut self) -> Option<Notice> {
         let (since, notice) = self.notices.pop_front()?;
-        self.came = since;
+        self.notice_arrival = since;
         Some(notice)
     }
 
     /// The earliest time at which the bytes behind the last taken notice can have arrived at this machine: a
     /// busy program, or one that pauses accepted connections, reads them later.
     pub fn came(&self) -> Micros {
-        self.came
+        self.notice_arrival
     }
 
     /// Reads and writes all queued connections.
-    fn turns(&mut self, write: Writing) {
-        for id in std::mem::take(&mut self.turn) {
-            let Some(conn) = self.get(id) else { continue };
+    fn process_ready(&mut self, write: WriteScope) {
+        for id in std::mem::take(&mut self.ready_queue) {
+            let Some(conn) = self.get_mut(id) else { continue };
             conn.queued = false;
             // Evaluated for each connection: the process may be paused between two.
             let own = write.allows_own(self.clock.now());
-            self.write_out(id, own);
-            self.read_in(id);
-            if self.see(id).is_some_and(|conn| conn.is_left_over(own)) {
-                self.queue(id);
+            self.write_pending(id, own);
+            self.read_available(id);
+            if self.get_ref(id).is_some_and(|conn| conn.has_output_left(own)) {
+                self.enqueue(id);
             }
-            self.settle(id);
+            self.update_interest(id);
         }
     }
 
     /// Updates the polled events of a connection, and frees the state of an idle one.
-    fn settle(&mut self, id: Connection) {
-        let Some(conn) = self.conns.get_mut(slot(id)).filter(|c| named(c.serial, slot(id)) == id) else {
+    fn update_interest(&mut self, id: Connection) {
+        let Some(conn) = self.conns.get_mut(slot(id)).filter(|c| connection_id(c.serial, slot(id)) == id)
+        else {
             return;
         };
         if conn.work.as_ref().is_some_and(|work| work.is_idle()) {
@@ -858,16 +863,16 @@
             return;
         }
         conn.interest = wanted;
-        let watch = if conn.accepted { &self.guests } else { &self.own };
+        let watch = if conn.accepted { &self.accepted_poller } else { &self.own_poller };
         if let Err(error) = watch.change(&conn.socket, id, wanted) {
             self.close(id, &error.to_string());
         }
     }
 
-    fn write_out(&mut self, id: Connection, own: bool) {
+    fn write_pending(&mut self, id: Connection, own: bool) {
         let (now, limits) = (self.clock.now(), self.limits);
         loop {
-            let Some(conn) = self.get(id) else { return };
+            let Some(conn) = self.get_mut(id) else { return };
             if !conn.writable {
                 return;
             }
@@ -875,9 +880,9 @@
                 match conn.socket.take_error() {
                     Ok(None) if conn.socket.peer_addr().is_ok() => {
                         conn.connecting = false;
-                        let due = conn.work.as_mut().and_then(|work| work.until.take());
-                        due.into_iter().for_each(|due| _ = self.due.remove(&(due, id)));
-                        self.tell(Notice::Connected(id));
+                        let due = conn.work.as_mut().and_then(|work| work.deadline.take());
+                        due.into_iter().for_each(|due| _ = self.deadlines.remove(&(due, id)));
+                        self.notify(Notice::Connected(id));
                         continue;
                     }
                     Ok(None) => conn.writable = false,
@@ -890,7 +895,7 @@
                 }
                 return;
             }
-            if conn.is_left_over(own) {
+            if conn.has_output_left(own) {
                 return;
             }
             if conn.unsent() == 0 {
@@ -899,8 +904,8 @@
                     let _ = conn.socket.shutdown(std::net::Shutdown::Write);
                     let due = now + LINGER;
                     (conn.lingering, conn.readable) = (true, true);
-                    conn.work(&limits).until = Some(due);
-                    self.due.insert((due, id));
+                    conn.work(&limits).deadline = Some(due);
+                    self.deadlines.insert((due, id));
                 }
                 return;
             }
@@ -908,9 +913,9 @@
             match (&conn.socket).write(work.out.rest()) {
                 Ok(0) => return self.close(id, "nothing can be written"),
                 Ok(count) => {
-                    work.out.took(count);
-                    if conn.unsent() == 0 && (std::mem::take(&mut conn.tell_flushed) || conn.paused) {
-                        self.tell(Notice::Flushed(id));
+                    work.out.advance(count);
+                    if conn.unsent() == 0 && (std::mem::take(&mut conn.notify_flushed) || conn.paused) {
+                        self.notify(Notice::Flushed(id));
                     }
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => conn.writable = false,
@@ -920,16 +925,16 @@
         }
     }
 
-    fn read_in(&mut self, id: Connection) {
+    fn read_available(&mut self, id: Connection) {
         let mut scratch = std::mem::take(&mut self.scratch);
         let limits = self.limits;
-        let Some(conn) = self.get(id) else {
+        let Some(conn) = self.get_mut(id) else {
             self.scratch = scratch;
             return;
         };
-        let (mut over, mut came, mut long) = (None, false, false);
+        let (mut over, mut came, mut was_large) = (None, false, false);
         // The end of the connection is to be known before earlier input of the peer is acted on.
-        let mut reads = if conn.ended { LAST_READS } else { 1 };
+        let mut reads = if conn.ended { MAX_FINAL_READS } else { 1 };
         while conn.reads() && reads > 0 {
             reads -= 1;
             match (&conn.socket).read(&mut scratch) {
@@ -938,7 +943,7 @@
                 Ok(_) if conn.lingering => {}
                 Ok(count) => {
                     came = true;
-                    long |= conn.accepted && count >= READ_LONG;
+                    was_large |= conn.accepted && count >= LARGE_READ;
                     conn.readable = count == scratch.len();
                     conn.drained = !conn.readable;
                     match &mut conn.work(&limits).decode {
@@ -958,26 +963,26 @@
             break;
         }
         self.scratch = scratch;
-        self.heard_in_part |= long;
+        self.polled_in_part |= was_large;
         self.decode(id);
         if let Some(why) = over {
             return self.close(id, &why);
         }
-        if came && self.halves && self.see(id).is_some_and(|conn| conn.accepted) {
-            match self.held(id) {
+        if came && self.report_incomplete && self.get_ref(id).is_some_and(|conn| conn.accepted) {
+            match self.buffered_bytes(id) {
                 0 => {}
-                held => self.tell(Notice::Half(id, held)),
+                held => self.notify(Notice::Half(id, held)),
             }
         }
-        if self.get(id).is_some_and(|conn| conn.reads()) {
-            self.queue(id);
+        if self.get_mut(id).is_some_and(|conn| conn.reads()) {
+            self.enqueue(id);
         }
     }
 
     fn decode(&mut self, id: Connection) {
         loop {
-            let Some(conn) = self.get(id).filter(|c| !c.paused && !c.close_when_flushed) else { return };
-            let since = conn.since;
+            let Some(conn) = self.get_mut(id).filter(|c| !c.paused && !c.close_when_flushed) else { return };
+            let since = conn.earliest_arrival;
             let Some(work) = conn.work.as_mut() else { return };
             let notice = match &mut work.decode {
                 Decode::Raw(bytes) if bytes.is_empty() => return,
@@ -987,7 +992,7 @@
                     Ok(Some(message)) => Notice::Message(id, message),
                     Err(error) => {
                         let reason = error.to_string();
-                        tracing::info!(%reason, connection = id, "not a frame");
+                        tracing::info!(%reason, connection = id, "malformed frame");
                         self.send(id, &Message::Bye { reason }, None);
                         return self.finish(id);
                     }
@@ -1005,7 +1010,7 @@
                     }
                 },
             };
-            self.tell_since(since, notice);
+            self.notify_since(since, notice);
         }
     }
 }
--- a/crates/transport/src/hub/datagrams.rs
+++ b/crates/transport/src/hub/datagrams.rs
@@ -17,7 +17,7 @@
         socket.connect(peer)?;
         let entry = self.datagrams.vacant_entry();
         let number = entry.key();
-        self.own.add_datagrams(&socket, number)?;
+        self.own_poller.add_datagrams(&socket, number)?;
         entry.insert(socket);
         Ok(number)
     }
@@ -27,14 +27,14 @@
     pub fn send_datagram(&mut self, number: usize, bytes: &[u8]) {
         let Some(socket) = self.datagrams.get(number) else { return };
         if let Err(error) = socket.send(bytes).or_else(|_| socket.send(bytes)) {
-            tracing::debug!(%error, "a datagram did not leave");
+            tracing::debug!(%error, "cannot send a datagram");
         }
     }
 
     /// Closes a datagram socket.
     pub fn close_datagrams(&mut self, number: usize) {
         if let Some(socket) = self.datagrams.try_remove(number) {
-            self.own.remove(&socket);
+            self.own_poller.remove(&socket);
         }
     }
 
@@ -42,10 +42,10 @@
         for _ in 0..DATAGRAMS_AT_ONCE {
             let Some(socket) = self.datagrams.get(number) else { return };
             match socket.recv(&mut self.scratch) {
-                Ok(count) => self.tell(Notice::Datagram(number, self.scratch[..count].to_vec())),
+                Ok(count) => self.notify(Notice::Datagram(number, self.scratch[..count].to_vec())),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
                 // The peer's port was closed: no more than a loss.
-                Err(error) => tracing::debug!(%error, "no datagram"),
+                Err(error) => tracing::debug!(%error, "cannot receive a datagram"),
             }
         }
     }
--- a/crates/transport/src/hub/listeners.rs
+++ b/crates/transport/src/hub/listeners.rs
@@ -13,7 +13,7 @@
 /// Maximum connections accepted at once, to keep an iteration short.
 pub(super) const ACCEPT_AT_ONCE: usize = 64;
 /// Length of the listen queue.
-const QUEUE: usize = 4_096;
+const LISTEN_BACKLOG: usize = 4_096;
 /// How long accepting pauses after descriptors ran out.
 const ACCEPT_PAUSE: Micros = 50_000;
 
@@ -28,8 +28,8 @@
 
 impl Listener {
     /// The event loop was idle until then with an empty listen queue.
-    pub(super) fn slept(&mut self, until: Micros) {
-        self.drained = self.drained.max(until.saturating_sub(crate::watch::WAKING));
+    pub(super) fn idle_until(&mut self, until: Micros) {
+        self.drained = self.drained.max(until.saturating_sub(crate::watch::WAKE_LATENCY));
     }
 }
 
@@ -40,7 +40,7 @@
     // Inherited by accepted sockets: small frames should not wait for each other.
     socket.set_tcp_nodelay(true)?;
     socket.bind(&address.into())?;
-    socket.listen(QUEUE as i32)?;
+    socket.listen(LISTEN_BACKLOG as i32)?;
     Ok(socket)
 }
 
@@ -57,7 +57,7 @@
         let socket = Socket::from(socket);
         socket.set_nonblocking(true)?;
         let number = self.listeners.len();
-        self.guests.add_listener(&socket, number)?;
+        self.accepted_poller.add_listener(&socket, number)?;
         let drained = self.clock.now();
         self.listeners.push(Listener { socket, wire, ready: true, paused: false, drained });
         Ok(number as u32)
@@ -76,26 +76,26 @@
                 continue;
             }
             (listener.paused, listener.ready) = (paused, !paused);
-            if self.accept_again.is_none() {
-                self.watch_listener(number, !paused);
+            if self.accept_resume_at.is_none() {
+                self.poll_listener(number, !paused);
             }
         }
     }
 
-    pub(super) fn watch_listener(&self, number: usize, watched: bool) {
+    pub(super) fn poll_listener(&self, number: usize, watched: bool) {
         let socket = &self.listeners[number].socket;
         if !watched {
-            self.guests.remove(socket);
-        } else if let Err(error) = self.guests.add_listener(socket, number) {
-            tracing::error!(%error, "a listener can't be watched");
+            self.accepted_poller.remove(socket);
+        } else if let Err(error) = self.accepted_poller.add_listener(socket, number) {
+            tracing::error!(%error, "cannot poll a listener");
         }
     }
 
     /// Pauses accepting until the given time, or resumes it.
-    pub(super) fn starve(&mut self, until: Option<Micros>) {
-        self.accept_again = until;
+    pub(super) fn pause_accepting(&mut self, until: Option<Micros>) {
+        self.accept_resume_at = until;
         for number in (0..self.listeners.len()).filter(|n| !self.listeners[*n].paused) {
-            self.watch_listener(number, until.is_none());
+            self.poll_listener(number, until.is_none());
         }
     }
 
@@ -103,9 +103,9 @@
     /// their clients, and closing a listener would reset them.
     pub fn accept_waiting(&mut self) {
         self.pause_listening(false);
-        let at_once = std::mem::replace(&mut self.accept_at_once, QUEUE);
-        if self.accept_again.is_some() {
-            self.starve(None);
+        let at_once = std::mem::replace(&mut self.accept_at_once, LISTEN_BACKLOG);
+        if self.accept_resume_at.is_some() {
+            self.pause_accepting(None);
         }
         for number in 0..self.listeners.len() {
             self.listeners[number].ready = true;
@@ -121,7 +121,9 @@
     }
 
     pub(super) fn accepting(&self) -> bool {
-        !self.held && self.accept_again.is_none() && self.listeners.iter().any(|l| l.ready && !l.paused)
+        !self.accepted_paused
+            && self.accept_resume_at.is_none()
+            && self.listeners.iter().any(|l| l.ready && !l.paused)
     }
 
     pub(super) fn accept(&mut self, number: usize) {
@@ -130,7 +132,7 @@
         }
         let now = self.clock.now();
         for _ in 0..self.accept_at_once {
-            if self.accept_again.is_some() {
+            if self.accept_resume_at.is_some() {
                 return;
             }
             let listener = &mut self.listeners[number];
@@ -146,10 +148,10 @@
                     Ok(id) => {
                         self.accepted += 1;
                         // The connection may have waited in the listen queue, and its first bytes with it.
-                        self.get(id).into_iter().for_each(|conn| conn.since = since);
-                        self.tell(Notice::Opened(id, number as u32));
+                        self.get_mut(id).into_iter().for_each(|conn| conn.earliest_arrival = since);
+                        self.notify(Notice::Opened(id, number as u32));
                     }
-                    Err(error) => tracing::warn!(%error, "a connection could not be taken in"),
+                    Err(error) => tracing::warn!(%error, "cannot register an accepted connection"),
                 },
                 Err(e) => match io::Error::from(e) {
                     e if e.kind() == ErrorKind::WouldBlock => {
@@ -161,7 +163,7 @@
                         // Out of descriptors or memory: open connections go on, new ones wait in the listen
                         // queue.
                         self.starved += 1;
-                        self.starve(Some(now + ACCEPT_PAUSE));
+                        self.pause_accepting(Some(now + ACCEPT_PAUSE));
                         tracing::warn!(%error, "accepting pauses");
                         return;
                     }
--- a/crates/transport/src/out.rs
+++ b/crates/transport/src/out.rs
@@ -14,7 +14,7 @@
 }
 
 #[derive(Debug, Default)]
-pub struct Out {
+pub struct OutputBuffer {
     buffer: Vec<u8>,
     /// Bytes at the front of the buffer that were handed to the kernel.
     sent: usize,
@@ -24,7 +24,7 @@
     marks: VecDeque<(u64, u64, u64)>,
 }
 
-impl Out {
+impl OutputBuffer {
     pub fn len(&self) -> usize {
         self.buffer.len() - self.sent
     }
@@ -46,7 +46,7 @@
     }
 
     /// Records that the kernel accepted this many bytes.
-    pub fn took(&mut self, count: usize) {
+    pub fn advance(&mut self, count: usize) {
         self.sent += count;
         let at = self.base + self.sent as u64;
         while self.marks.front().is_some_and(|(_, end, _)| *end <= at) {
@@ -67,13 +67,13 @@
     /// Withdraws a frame if no byte of it was sent.
     pub fn withdraw(&mut self, mark: u64) -> bool {
         let at = self.base + self.sent as u64;
-        let Some(place) = self.marks.iter().position(|(start, _, m)| *m == mark && *start >= at) else {
+        let Some(index) = self.marks.iter().position(|(start, _, m)| *m == mark && *start >= at) else {
             return false;
         };
-        let Some((start, end, _)) = self.marks.remove(place) else { return false };
+        let Some((start, end, _)) = self.marks.remove(index) else { return false };
         let range = (start - self.base) as usize..(end - self.base) as usize;
         self.buffer.drain(range);
-        for (later, end_later, _) in self.marks.iter_mut().skip(place) {
+        for (later, end_later, _) in self.marks.iter_mut().skip(index) {
             *later -= end - start;
             *end_later -= end - start;
         }
@@ -99,30 +99,30 @@
 
 #[cfg(test)]
 mod tests {
-    use super::{Out, Sent};
+    use super::{OutputBuffer, Sent};
 
     #[test]
     fn frames_are_unsent_until_their_first_byte_leaves() {
-        let mut out = Out::default();
+        let mut out = OutputBuffer::default();
         for mark in 1..=4 {
             out.push(Some(mark), |b| b.extend([mark as u8; 10]));
         }
         assert_eq!(out.unsent(), [1, 2, 3, 4]);
-        out.took(10);
+        out.advance(10);
         assert_eq!(out.unsent(), [2, 3, 4], "whole frames that left are not unsent");
-        out.took(1);
+        out.advance(1);
         assert_eq!(out.unsent(), [3, 4], "one byte is enough");
         assert_eq!([1, 2, 3].map(|mark| out.sent(mark)), [Sent::Whole, Sent::Part, Sent::Nothing]);
         assert!(!out.withdraw(2) && !out.withdraw(1) && out.withdraw(3));
         assert_eq!(out.rest(), [[2u8; 9].as_slice(), [4u8; 10].as_slice()].concat());
-        out.took(9);
+        out.advance(9);
         assert_eq!(out.unsent(), [4]);
-        out.took(10);
+        out.advance(10);
         assert_eq!((out.len(), out.unsent()), (0, vec![]));
         out.push(Some(5), |b| b.extend([5; 3]));
-        out.took(2);
+        out.advance(2);
         assert!(!out.withdraw(5));
-        out.took(1);
+        out.advance(1);
         assert_eq!(out.len(), 0);
     }
 }
--- a/crates/transport/src/watch.rs
+++ b/crates/transport/src/watch.rs
@@ -13,16 +13,16 @@
 use rustix::event::epoll::{self, CreateFlags, EventData, EventFlags};
 
 /// Maximum events per poll on each side, to keep an iteration short.
-pub const AT_ONCE: usize = 256;
+pub const MAX_EVENTS: usize = 256;
 /// Assumed maximum latency between a socket becoming ready and the process waking up.
-pub const WAKING: Micros = 1_000;
+pub const WAKE_LATENCY: Micros = 1_000;
 /// Keys with the first bit are listeners, those with the second datagram sockets.
-const LISTENERS: u64 = 1 << 63;
-const DATAGRAMS: u64 = 1 << 62;
+const LISTENER_BIT: u64 = 1 << 63;
+const DATAGRAM_BIT: u64 = 1 << 62;
 
 /// The readiness of a socket.
 #[derive(Clone, Copy, Debug)]
-pub struct Ready {
+pub struct Readiness {
     pub readable: bool,
     pub writable: bool,
     /// The peer has closed its side; reported together with the bytes before that.
@@ -30,13 +30,13 @@
     pub broken: bool,
 }
 
-pub enum Seen {
-    Connection(u64, Ready),
+pub enum PollEvent {
+    Connection(u64, Readiness),
     Listener(usize),
     Datagrams(usize),
 }
 
-pub struct Watch {
+pub struct Poller {
     epoll: OwnedFd,
     events: Vec<epoll::Event>,
     /// Everything ready at this time was reported: other sockets became ready later.
@@ -45,14 +45,14 @@
 
 /// The events to poll a socket for, besides errors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Wanted {
+pub struct PollInterest {
     pub read: bool,
     pub write: bool,
     /// Closing by the peer, even though its bytes are not read.
     pub end: bool,
 }
 
-impl Wanted {
+impl PollInterest {
     fn flags(self) -> EventFlags {
         let mut flags = EventFlags::empty();
         flags.set(EventFlags::IN, self.read);
@@ -62,10 +62,10 @@
     }
 }
 
-impl Watch {
+impl Poller {
     pub fn new(now: Micros) -> io::Result<Self> {
         let epoll = epoll::create(CreateFlags::CLOEXEC)?;
-        Ok(Self { epoll, events: Vec::with_capacity(AT_ONCE), drained: now })
+        Ok(Self { epoll, events: Vec::with_capacity(MAX_EVENTS), drained: now })
     }
 
     /// A descriptor for the event loop: readable when a socket here is ready.
@@ -73,11 +73,11 @@
         self.epoll.try_clone()
     }
 
-    pub fn add(&self, socket: impl AsFd, id: u64, interest: Wanted) -> io::Result<()> {
+    pub fn add(&self, socket: impl AsFd, id: u64, interest: PollInterest) -> io::Result<()> {
         Ok(epoll::add(&self.epoll, socket, EventData::new_u64(id), interest.flags())?)
     }
 
-    pub fn change(&self, socket: impl AsFd, id: u64, interest: Wanted) -> io::Result<()> {
+    pub fn change(&self, socket: impl AsFd, id: u64, interest: PollInterest) -> io::Result<()> {
         Ok(epoll::modify(&self.epoll, socket, EventData::new_u64(id), interest.flags())?)
     }
 
@@ -88,18 +88,18 @@
 
     /// Exclusive, so that one connection doesn't wake all processes that share a listener.
     pub fn add_listener(&self, socket: impl AsFd, number: usize) -> io::Result<()> {
-        let data = EventData::new_u64(LISTENERS | number as u64);
+        let data = EventData::new_u64(LISTENER_BIT | number as u64);
         Ok(epoll::add(&self.epoll, socket, data, EventFlags::IN | EventFlags::EXCLUSIVE)?)
     }
 
     pub fn add_datagrams(&self, socket: impl AsFd, number: usize) -> io::Result<()> {
-        let data = EventData::new_u64(DATAGRAMS | number as u64);
+        let data = EventData::new_u64(DATAGRAM_BIT | number as u64);
         Ok(epoll::add(&self.epoll, socket, data, EventFlags::IN)?)
     }
 
     /// Polls without blocking; gives the ready sockets and the earliest time at which each can have become
     /// ready.
-    pub fn look(&mut self, now: Micros, seen: &mut Vec<(Micros, Seen)>) -> io::Result<usize> {
+    pub fn poll(&mut self, now: Micros, events_out: &mut Vec<(Micros, PollEvent)>) -> io::Result<usize> {
         let zero = rustix::event::Timespec { tv_sec: 0, tv_nsec: 0 };
         self.events.clear();
         match epoll::wait(&self.epoll, spare_capacity(&mut self.events), Some(&zero)) {
@@ -110,37 +110,42 @@
         for event in &self.events {
             let (id, flags) = (event.data.u64(), event.flags);
             let broken = flags.intersects(EventFlags::ERR | EventFlags::HUP);
-            let ready = Ready {
+            let ready = Readiness {
                 readable: flags.contains(EventFlags::IN) || broken,
                 writable: flags.contains(EventFlags::OUT) || broken,
                 ended: flags.contains(EventFlags::RDHUP) || broken,
                 broken,
             };
-            let what = match id & (LISTENERS | DATAGRAMS) {
-                0 => Seen::Connection(id, ready),
-                LISTENERS => Seen::Listener((id & !LISTENERS) as usize),
-                _ => Seen::Datagrams((id & !DATAGRAMS) as usize),
+            let what = match id & (LISTENER_BIT | DATAGRAM_BIT) {
+                0 => PollEvent::Connection(id, ready),
+                LISTENER_BIT => PollEvent::Listener((id & !LISTENER_BIT) as usize),
+                _ => PollEvent::Datagrams((id & !DATAGRAM_BIT) as usize),
             };
-            seen.push((self.drained, what));
+            events_out.push((self.drained, what));
         }
-        if count < AT_ONCE {
+        if count < MAX_EVENTS {
             self.drained = now;
         }
         Ok(count)
     }
 
     /// Polls only for connections that the peer has closed; other events stay pending.
-    pub fn look_for_ends(&mut self, now: Micros, seen: &mut Vec<(Micros, Seen)>) -> io::Result<usize> {
-        let (drained, before) = (self.drained, seen.len());
-        self.look(now, seen)?;
+    pub fn poll_hangups(
+        &mut self,
+        now: Micros,
+        events_out: &mut Vec<(Micros, PollEvent)>,
+    ) -> io::Result<usize> {
+        let (drained, before) = (self.drained, events_out.len());
+        self.poll(now, events_out)?;
         self.drained = drained;
-        let ends = seen.split_off(before).into_iter();
-        seen.extend(ends.filter(|(_, what)| matches!(what, Seen::Connection(_, ready) if ready.ended)));
-        Ok(seen.len() - before)
+        let ends = events_out.split_off(before).into_iter();
+        events_out
+            .extend(ends.filter(|(_, what)| matches!(what, PollEvent::Connection(_, ready) if ready.ended)));
+        Ok(events_out.len() - before)
     }
 
     /// The event loop was idle until now with nothing ready here: what ended the sleep became ready then.
-    pub fn slept(&mut self, until: Micros) {
-        self.drained = self.drained.max(until.saturating_sub(WAKING));
+    pub fn idle_until(&mut self, until: Micros) {
+        self.drained = self.drained.max(until.saturating_sub(WAKE_LATENCY));
     }
 }
