--- a/crates/platform/src/front.rs
+++ b/crates/platform/src/front.rs
@@ -60,7 +60,7 @@
     /// Requests rejected here, by reason.
     pub rejected: HashMap<&'static str, u64>,
     /// Connections closed here with an unanswered request. Must stay 0.
-    pub closed_owed: u64,
+    pub closed_unanswered: u64,
 }
 
 /// Close reason of a client that keeps sending requests without reading.
@@ -79,7 +79,7 @@
             draining: false,
             listening: true,
             rejected: HashMap::new(),
-            closed_owed: 0,
+            closed_unanswered: 0,
         }
     }
 
@@ -135,7 +135,7 @@
     fn opened(&mut self, hub: &mut Hub, connection: Connection) {
         // It is closed already; anything it sent is processed before its end.
         if hub.peer(connection).is_none() {
-            return hub.close(connection, "closed before it was accepted");
+            return hub.close(connection, "client already disconnected");
         }
         // Clients connect through the platform's proxy layer, so their addresses don't identify them.
         let address = Ipv4Addr::UNSPECIFIED.into();
@@ -311,7 +311,7 @@
             .filter(|client| client.stalled.is_none())
             .map(|client| client.streams.len());
         if let Some(owed) = owed.filter(|owed| *owed > 0 && why != NOT_READING) {
-            self.closed_owed += 1;
+            self.closed_unanswered += 1;
             tracing::error!(connection, why, owed, "closed against a rule");
         }
         hub.close(connection, why);
--- a/crates/platform/src/shell.rs
+++ b/crates/platform/src/shell.rs
@@ -478,7 +478,7 @@
             orders = counters.orders,
             kept_back = ?counters.kept_back,
             violations = ?counters.violations,
-            closed_owed = self.clients.closed_owed,
+            closed_owed = self.clients.closed_unanswered,
             list_age = self.hub.clock().now().saturating_sub(self.directory.age().as_of),
             turned_away = ?(rejected, &counters.turned_away),
             serial = self.directory.list().number,
--- a/crates/platform/src/waiting.rs
+++ b/crates/platform/src/waiting.rs
@@ -37,7 +37,7 @@
     }
 
     fn drop_matching(&mut self, is_canceled: impl Fn(u64, u32) -> bool) {
-        let stays = |event: &ClientEvent| !matches!(event, ClientEvent::Request(queued_connection, queued_stream, ..) if is_canceled(*queued_connection, *queued_stream));
+        let stays = |event: &ClientEvent| !matches!(event, ClientEvent::Request(queued, stream, ..) if is_canceled(*queued, *stream));
         self.requests.retain(stays);
         self.bytes = self.requests.iter().map(body_bytes).sum();
     }
--- a/crates/transport/src/hub.rs
+++ b/crates/transport/src/hub.rs
@@ -160,7 +160,7 @@
     ended: bool,
     /// All received bytes were read and it is polled for more: the next bytes arrived after the last poll.
     drained: bool,
-    work: Option<Box<ActiveState>>,
+    active: Option<Box<ActiveState>>,
 }
 
 impl Conn {
@@ -170,19 +170,19 @@
         !self.connecting && wanted
     }
 
-    fn reads(&self) -> bool {
+    fn can_read(&self) -> bool {
         self.readable && self.wants_input()
     }
 
     /// The events to poll for. The end of a paused connection is reported: its client no longer waits for its
     /// answers.
-    fn wanted(&self) -> PollInterest {
+    fn poll_interest(&self) -> PollInterest {
         let end = self.paused && !self.connecting && !self.close_when_flushed;
         PollInterest { read: self.wants_input(), write: !self.writable, end }
     }
 
-    fn work(&mut self, limits: &HubLimits) -> &mut ActiveState {
-        self.work.get_or_insert_with(|| {
+    fn active(&mut self, limits: &HubLimits) -> &mut ActiveState {
+        self.active.get_or_insert_with(|| {
             let decode = match self.wire {
                 Wire::Frames => Decode::Frames(Decoder::new(limits.frame)),
                 Wire::Http => Decode::Http(http::Decoder::new(limits.http)),
@@ -200,11 +200,11 @@
     }
 
     fn unsent(&self) -> usize {
-        self.work.as_ref().map_or(0, |work| work.out.len())
+        self.active.as_ref().map_or(0, |active| active.out.len())
     }
 
     fn deadline(&self) -> Option<Micros> {
-        self.work.as_ref().and_then(|work| work.deadline)
+        self.active.as_ref().and_then(|active| active.deadline)
     }
 }
 
@@ -250,14 +250,14 @@
 const MAX_LOOP_INTERVAL: Micros = 5_000;
 
 #[derive(Default)]
-struct Woken {
+struct ReceivedSignals {
     signals: Vec<Signal>,
 }
 
 /// Listeners, connections and the loop that drives them.
 pub struct Hub {
-    event_loop: EventLoop<'static, Woken>,
-    handle: LoopHandle<'static, Woken>,
+    event_loop: EventLoop<'static, ReceivedSignals>,
+    handle: LoopHandle<'static, ReceivedSignals>,
     limits: HubLimits,
     clock: Clock,
     conns: Slab<Conn>,
@@ -299,8 +299,8 @@
     pub turned_away: u64,
 }
 
-fn source(handle: &LoopHandle<'static, Woken>, watch: &Poller) -> io::Result<RegistrationToken> {
-    let source = Generic::new(watch.fd()?, Interest::READ, Mode::Level);
+fn source(handle: &LoopHandle<'static, ReceivedSignals>, poller: &Poller) -> io::Result<RegistrationToken> {
+    let source = Generic::new(poller.fd()?, Interest::READ, Mode::Level);
     handle.insert_source(source, |_, _, _| Ok(PostAction::Continue)).map_err(|e| io::Error::other(e.error))
 }
 
@@ -372,10 +372,10 @@
     /// Reports signals as notices. Must be called before other threads start.
     pub fn signals(&mut self, signals: &[Signal]) -> io::Result<()> {
         let source = Signals::new(signals).map_err(io::Error::other)?;
-        let seen = |event: calloop::signals::Event, (): &mut (), woken: &mut Woken| {
-            woken.signals.push(event.signal());
+        let events = |event: calloop::signals::Event, (): &mut (), received_signals: &mut ReceivedSignals| {
+            received_signals.signals.push(event.signal());
         };
-        self.handle.insert_source(source, seen).map_err(|e| io::Error::other(e.error))?;
+        self.handle.insert_source(source, events).map_err(|e| io::Error::other(e.error))?;
         Ok(())
     }
 
@@ -443,7 +443,7 @@
             Ok(id) => {
                 let limits = self.limits;
                 if let Some(conn) = self.get_mut(id) {
-                    conn.work(&limits).deadline = Some(due);
+                    conn.active(&limits).deadline = Some(due);
                 }
                 self.deadlines.insert((due, id));
                 id
@@ -483,9 +483,9 @@
             return Err(io::Error::other("too many open connections"));
         }
         let id = connection_id(serial, slot);
-        let watch = if accepted { &self.accepted_poller } else { &self.own_poller };
+        let poller = if accepted { &self.accepted_poller } else { &self.own_poller };
         let interest = PollInterest { read: !connecting, write: connecting, end: false };
-        watch.add(&socket, id, interest)?;
+        poller.add(&socket, id, interest)?;
         entry.insert(Conn {
             socket,
             serial,
@@ -503,7 +503,7 @@
             earliest_arrival: self.clock.now(),
             ended: false,
             drained: false,
-            work: None,
+            active: None,
         });
         Ok(id)
     }
@@ -560,7 +560,7 @@
 
     /// Bytes buffered of an incomplete frame or request; at least one if there is one.
     fn buffered_bytes(&self, id: Connection) -> usize {
-        match self.get_ref(id).and_then(|conn| conn.work.as_ref()).map(|work| &work.decode) {
+        match self.get_ref(id).and_then(|conn| conn.active.as_ref()).map(|active| &active.decode) {
             Some(Decode::Frames(decoder)) => decoder.held(),
             Some(Decode::Http(decoder)) => decoder.held().max(usize::from(decoder.midway())),
             Some(Decode::Raw(_)) | None => 0,
@@ -582,7 +582,7 @@
     pub fn write(&mut self, id: Connection, mark: Option<u64>, write: impl FnOnce(&mut Vec<u8>)) -> bool {
         let limits = self.limits;
         let Some(conn) = self.get_mut(id).filter(|c| !c.close_when_flushed) else { return false };
-        let out = &mut conn.work(&limits).out;
+        let out = &mut conn.active(&limits).out;
         out.push(mark, write);
         if out.len() > limits.out {
             self.close(id, "too much waits to be written");
@@ -594,13 +594,13 @@
 
     /// Withdraws a marked frame if no byte of it was sent.
     pub fn withdraw(&mut self, id: Connection, mark: u64) -> bool {
-        self.get_mut(id).and_then(|conn| conn.work.as_mut()).is_some_and(|work| work.out.withdraw(mark))
+        self.get_mut(id).and_then(|conn| conn.active.as_mut()).is_some_and(|active| active.out.withdraw(mark))
     }
 
     /// How much of a marked frame was sent.
     pub fn sent(&self, id: Connection, mark: u64) -> Sent {
-        let work = self.get_ref(id).and_then(|conn| conn.work.as_ref());
-        work.map_or(Sent::Whole, |work| work.out.sent(mark))
+        let active = self.get_ref(id).and_then(|conn| conn.active.as_ref());
+        active.map_or(Sent::Whole, |active| active.out.sent(mark))
     }
 
     /// Pauses or resumes reading a connection, which makes its sender wait.
@@ -626,13 +626,13 @@
     pub fn is_quiet(&mut self, id: Connection) -> bool {
         self.get_mut(id).into_iter().for_each(|conn| conn.readable = true);
         self.read_available(id);
-        let waits = |notice: &Notice| match notice {
+        let concerns = |notice: &Notice| match notice {
             Notice::Message(of, _) | Notice::Bytes(of, _) | Notice::Request(of, _) => *of == id,
             Notice::BadRequest(of, _) | Notice::Closed { connection: of, .. } => *of == id,
             Notice::Opened(..) | Notice::Connected(_) | Notice::Half(..) | Notice::Flushed(_) => false,
             Notice::Datagram(..) | Notice::Signal(_) => false,
         };
-        !self.notices.iter().any(|(_, notice)| waits(notice))
+        !self.notices.iter().any(|(_, notice)| concerns(notice))
     }
 
     /// Closes a connection once its output is written. Its only further notice is `Closed`.
@@ -656,7 +656,7 @@
         } else {
             self.own_poller.remove(&conn.socket);
         }
-        let unsent = conn.work.map_or_else(Vec::new, |work| work.out.unsent());
+        let unsent = conn.active.map_or_else(Vec::new, |active| active.out.unsent());
         let (guest, never_stood, why) = (conn.accepted, conn.connecting, why.to_owned());
         self.notify(Notice::Closed { connection: id, guest, never_stood, unsent, why });
     }
@@ -682,14 +682,14 @@
                 Some(at) => Some(Duration::from_micros(at.saturating_sub(now))),
                 None => None,
             };
-            let mut woken = Woken::default();
-            match self.event_loop.dispatch(timeout, &mut woken) {
+            let mut received_signals = ReceivedSignals::default();
+            match self.event_loop.dispatch(timeout, &mut received_signals) {
                 Err(calloop::Error::IoError(e)) if e.kind() == ErrorKind::Interrupted => {}
                 other => other.map_err(io::Error::other)?,
             }
             let woke = self.clock.now();
             self.last_event_loop = woke;
-            woken.signals.into_iter().for_each(|signal| self.notify(Notice::Signal(signal)));
+            received_signals.signals.into_iter().for_each(|signal| self.notify(Notice::Signal(signal)));
             let was_paused = until.is_some_and(|at| at.max(now).saturating_add(PAUSE_THRESHOLD) < woke);
             if found == 0 && !busy && !was_paused {
                 self.own_poller.idle_until(woke);
@@ -705,11 +705,11 @@
                 found = self.poll()?;
             }
         }
-        let mut seen = std::mem::take(&mut self.poll_events);
+        let mut events = std::mem::take(&mut self.poll_events);
         if found > 0 {
-            seen.drain(..).for_each(|(since, what)| self.handle_event(since, what));
+            events.drain(..).for_each(|(since, what)| self.handle_event(since, what));
         }
-        self.poll_events = seen;
+        self.poll_events = events;
         let now = self.clock.now();
         if self.accept_resume_at.is_some_and(|at| at <= now) {
             self.pause_accepting(None);
@@ -747,7 +747,7 @@
     /// Whether accepted connections may have unread input: the last poll is older than `span`, or found more
     /// than could be read, or so much that more may follow.
     pub fn is_behind(&self, span: Micros) -> bool {
-        let reads = |id: &Connection| self.get_ref(*id).is_some_and(|conn| conn.accepted && conn.reads());
+        let reads = |id: &Connection| self.get_ref(*id).is_some_and(|conn| conn.accepted && conn.can_read());
         let late = self.last_polled.saturating_add(span) < self.clock.now();
         !self.accepted_paused && (late || self.polled_in_part || self.ready_queue.iter().any(reads))
     }
@@ -759,22 +759,22 @@
         if self.accepted_paused {
             return Ok(());
         }
-        let mut seen = std::mem::take(&mut self.poll_events);
-        self.poll_accepted(self.clock.now(), &mut seen)?;
-        seen.drain(..).for_each(|(since, what)| self.handle_event(since, what));
-        self.poll_events = seen;
+        let mut events = std::mem::take(&mut self.poll_events);
+        self.poll_accepted(self.clock.now(), &mut events)?;
+        events.drain(..).for_each(|(since, what)| self.handle_event(since, what));
+        self.poll_events = events;
         // They stay queued: output to them is written later.
-        let is_guest = |id: &Connection| self.get_ref(*id).is_some_and(|conn| conn.accepted);
-        let guests: Vec<Connection> = self.ready_queue.iter().copied().filter(is_guest).collect();
-        guests.into_iter().for_each(|id| self.read_available(id));
+        let is_accepted = |id: &Connection| self.get_ref(*id).is_some_and(|conn| conn.accepted);
+        let accepted: Vec<Connection> = self.ready_queue.iter().copied().filter(is_accepted).collect();
+        accepted.into_iter().for_each(|id| self.read_available(id));
         Ok(())
     }
 
-    fn poll_accepted(&mut self, now: Micros, seen: &mut Vec<(Micros, PollEvent)>) -> io::Result<usize> {
+    fn poll_accepted(&mut self, now: Micros, events: &mut Vec<(Micros, PollEvent)>) -> io::Result<usize> {
         if self.accepted_paused {
             return Ok(0);
         }
-        let found = self.accepted_poller.poll(now, seen)?;
+        let found = self.accepted_poller.poll(now, events)?;
         (self.last_polled, self.polled_in_part) = (now, found == MAX_EVENTS);
         Ok(found)
     }
@@ -782,19 +782,19 @@
     /// Polls the sockets without blocking, the program's own first.
     fn poll(&mut self) -> io::Result<usize> {
         let now = self.clock.now();
-        let mut seen = std::mem::take(&mut self.poll_events);
-        let own = self.own_poller.poll(now, &mut seen);
+        let mut events = std::mem::take(&mut self.poll_events);
+        let own = self.own_poller.poll(now, &mut events);
         // The end of a connection is reported even while accepted connections are paused: its client no
         // longer waits for its answers.
-        let guests = match self.accepted_paused {
+        let accepted = match self.accepted_paused {
             true => {
                 self.last_polled = now;
-                self.accepted_poller.poll_hangups(now, &mut seen)
+                self.accepted_poller.poll_hangups(now, &mut events)
             }
-            false => self.poll_accepted(now, &mut seen),
+            false => self.poll_accepted(now, &mut events),
         };
-        self.poll_events = seen;
-        Ok(own? + guests?)
+        self.poll_events = events;
+        Ok(own? + accepted?)
     }
 
     fn handle_event(&mut self, since: Micros, what: PollEvent) {
@@ -855,16 +855,16 @@
         else {
             return;
         };
-        if conn.work.as_ref().is_some_and(|work| work.is_idle()) {
-            conn.work = None;
+        if conn.active.as_ref().is_some_and(|active| active.is_idle()) {
+            conn.active = None;
         }
-        let wanted = conn.wanted();
+        let wanted = conn.poll_interest();
         if conn.interest == wanted {
             return;
         }
         conn.interest = wanted;
-        let watch = if conn.accepted { &self.accepted_poller } else { &self.own_poller };
-        if let Err(error) = watch.change(&conn.socket, id, wanted) {
+        let poller = if conn.accepted { &self.accepted_poller } else { &self.own_poller };
+        if let Err(error) = poller.change(&conn.socket, id, wanted) {
             self.close(id, &error.to_string());
         }
     }
@@ -880,7 +880,7 @@
                 match conn.socket.take_error() {
                     Ok(None) if conn.socket.peer_addr().is_ok() => {
                         conn.connecting = false;
-                        let due = conn.work.as_mut().and_then(|work| work.deadline.take());
+                        let due = conn.active.as_mut().and_then(|active| active.deadline.take());
                         due.into_iter().for_each(|due| _ = self.deadlines.remove(&(due, id)));
                         self.notify(Notice::Connected(id));
                         continue;
@@ -904,16 +904,16 @@
                     let _ = conn.socket.shutdown(std::net::Shutdown::Write);
                     let due = now + LINGER;
                     (conn.lingering, conn.readable) = (true, true);
-                    conn.work(&limits).deadline = Some(due);
+                    conn.active(&limits).deadline = Some(due);
                     self.deadlines.insert((due, id));
                 }
                 return;
             }
-            let Some(work) = conn.work.as_mut() else { return };
-            match (&conn.socket).write(work.out.rest()) {
+            let Some(active) = conn.active.as_mut() else { return };
+            match (&conn.socket).write(active.out.rest()) {
                 Ok(0) => return self.close(id, "nothing can be written"),
                 Ok(count) => {
-                    work.out.advance(count);
+                    active.out.advance(count);
                     if conn.unsent() == 0 && (std::mem::take(&mut conn.notify_flushed) || conn.paused) {
                         self.notify(Notice::Flushed(id));
                     }
@@ -935,7 +935,7 @@
         let (mut over, mut came, mut was_large) = (None, false, false);
         // The end of the connection is to be known before earlier input of the peer is acted on.
         let mut reads = if conn.ended { MAX_FINAL_READS } else { 1 };
-        while conn.reads() && reads > 0 {
+        while conn.can_read() && reads > 0 {
             reads -= 1;
             match (&conn.socket).read(&mut scratch) {
                 Ok(0) if conn.lingering => over = Some(FINISHED.to_owned()),
@@ -946,7 +946,7 @@
                     was_large |= conn.accepted && count >= LARGE_READ;
                     conn.readable = count == scratch.len();
                     conn.drained = !conn.readable;
-                    match &mut conn.work(&limits).decode {
+                    match &mut conn.active(&limits).decode {
                         Decode::Frames(decoder) => decoder.push(&scratch[..count]),
                         Decode::Http(decoder) => decoder.push(&scratch[..count]),
                         Decode::Raw(bytes) => bytes.extend_from_slice(&scratch[..count]),
@@ -974,7 +974,7 @@
                 held => self.notify(Notice::Half(id, held)),
             }
         }
-        if self.get_mut(id).is_some_and(|conn| conn.reads()) {
+        if self.get_mut(id).is_some_and(|conn| conn.can_read()) {
             self.enqueue(id);
         }
     }
@@ -983,8 +983,8 @@
         loop {
             let Some(conn) = self.get_mut(id).filter(|c| !c.paused && !c.close_when_flushed) else { return };
             let since = conn.earliest_arrival;
-            let Some(work) = conn.work.as_mut() else { return };
-            let notice = match &mut work.decode {
+            let Some(active) = conn.active.as_mut() else { return };
+            let notice = match &mut active.decode {
                 Decode::Raw(bytes) if bytes.is_empty() => return,
                 Decode::Raw(bytes) => Notice::Bytes(id, std::mem::take(bytes)),
                 Decode::Frames(decoder) => match decoder.decode() {
