--- a/crates/platform/src/departures.rs
+++ b/crates/platform/src/departures.rs
@@ -1,9 +1,9 @@
-//! What was handed to hosts' connections and has not left yet.
+//! Attempts and orders that were queued for hosts and have not been sent yet.
 //!
-//! Right before the hub writes, the engine is asked about each of these once more ([`Engine::may_leave`]), and what it
-//! says is carried out: it stays where it is, it is taken off its connection and waits here, or it is taken back. A
-//! frame that waited for long is made anew, so that the time it names is the time that is left. What left is told to
-//! the engine, which checks it against the rules.
+//! Right before the hub writes, each of them is checked with the engine again ([`Engine::may_leave`]): it
+//! stays queued, is taken off its connection and parked here, or is canceled. A frame that was queued for
+//! long is built anew, so that the time limit in it is the time that is left. Whatever was sent is reported
+//! to the engine, which checks it against the rules.
 
 use std::collections::BTreeMap;
 
@@ -13,23 +13,23 @@
 
 use crate::hosts::{Hosts, Order};
 
-/// A frame that waited for longer names more time than its client has left: it is made anew.
-const FRAME_HOLDS: Micros = 50_000;
-/// An attempt that waits for longer to be allowed is taken back: another host may do.
-const ATTEMPT_WAITS: Micros = 500_000;
-/// How often it is looked whether what waits here may leave.
-const LOOK: Micros = 10_000;
+/// An older frame grants more time than its client has left, and is built anew.
+const MAX_FRAME_AGE: Micros = 50_000;
+/// An attempt that was parked for longer is canceled: another host may do.
+const MAX_PARKED: Micros = 500_000;
+/// Interval at which parked items are checked.
+const PARKED_POLL_INTERVAL: Micros = 10_000;
 
-/// What goes to a host.
+/// What is sent to a host.
 #[derive(Clone, Debug)]
-pub enum Work {
+pub enum Item {
     /// An attempt.
     Attempt(Attempt),
-    /// An order to load.
+    /// A prewarm order.
     Order(Order),
 }
 
-impl Work {
+impl Item {
     fn worker(&self) -> &WorkerId {
         match self {
             Self::Attempt(attempt) => &attempt.worker,
@@ -38,65 +38,65 @@
     }
 }
 
-/// Where something waits.
+/// Where an item waits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Place {
-    /// On its connection, since then.
-    Connection(Micros),
-    /// Here, since then.
+enum Location {
+    /// Queued on its connection, since this time.
+    Queued(Micros),
+    /// Parked here, since this time.
     Parked(Micros),
 }
 
 #[derive(Debug)]
-struct Pending {
-    work: Work,
-    place: Place,
+struct PendingItem {
+    item: Item,
+    location: Location,
 }
 
-/// Attempts and orders that have not left, by number.
+/// Unsent attempts and orders, by number.
 #[derive(Debug, Default)]
-pub struct Departures {
-    pending: BTreeMap<u64, Pending>,
+pub struct UnsentItems {
+    pending: BTreeMap<u64, PendingItem>,
 }
 
-impl Departures {
-    /// Something was handed to a connection.
-    pub fn handed(&mut self, now: Micros, number: u64, work: Work) {
-        self.pending.insert(number, Pending { work, place: Place::Connection(now) });
+impl UnsentItems {
+    /// Records that an item was queued on a connection.
+    pub fn queued(&mut self, now: Micros, number: u64, item: Item) {
+        self.pending.insert(number, PendingItem { item, location: Location::Queued(now) });
     }
 
-    /// Forgets what waits here, and on no connection; true: it did.
-    pub fn drop_parked(&mut self, number: u64) -> bool {
+    /// Forgets an item if it is parked here, on no connection; true if it was.
+    pub fn forget_parked(&mut self, number: u64) -> bool {
         let parked =
-            self.pending.get(&number).is_some_and(|pending| matches!(pending.place, Place::Parked(_)));
+            self.pending.get(&number).is_some_and(|pending| matches!(pending.location, Location::Parked(_)));
         if parked {
             self.pending.remove(&number);
         }
         parked
     }
 
-    /// When [`Departures::clear`] is wanted next, if nothing else happens.
+    /// When [`UnsentItems::recheck`] should run next if nothing else happens.
     pub fn next_due(&self, now: Micros) -> Option<Micros> {
-        let parked = self.pending.values().any(|pending| matches!(pending.place, Place::Parked(_)));
-        parked.then_some(now + LOOK)
+        let parked = self.pending.values().any(|pending| matches!(pending.location, Location::Parked(_)));
+        parked.then_some(now + PARKED_POLL_INTERVAL)
     }
 
-    /// The hub has written, and was done at that time: tells the engine what left, and forgets it.
-    pub fn wrote(&mut self, at: Micros, hub: &Hub, hosts: &Hosts, engine: &mut Engine) {
+    /// Reports to the engine what was sent by the hub's last write, which ended at that time, and forgets it.
+    pub fn after_write(&mut self, at: Micros, hub: &Hub, hosts: &Hosts, engine: &mut Engine) {
         self.pending.retain(|number, pending| {
-            if matches!(pending.place, Place::Parked(_)) || hosts.is_waiting(hub, *number) {
+            if matches!(pending.location, Location::Parked(_)) || hosts.is_unsent(hub, *number) {
                 return true;
             }
-            let broken = hosts.has_left(hub, *number).then(|| engine.departed(at, *number)).flatten();
-            if let Some(rule) = broken {
-                tracing::error!(number, worker = %pending.work.worker(), rule, "left against a rule");
+            let violated = hosts.has_sent_bytes(hub, *number).then(|| engine.departed(at, *number)).flatten();
+            if let Some(rule) = violated {
+                tracing::error!(number, worker = %pending.item.worker(), rule, "left against a rule");
             }
             false
         });
     }
 
-    /// Asks the engine about all that has not left; gives what it takes back.
-    pub fn clear(
+    /// Checks all unsent items with the engine; returns the ends of those that are canceled.
+    pub fn recheck(
         &mut self,
         now: Micros,
         hub: &mut Hub,
@@ -108,9 +108,9 @@
         for number in numbers {
             let departure = engine.may_leave(now, number);
             let over = match departure {
-                Departure::Now => self.release(now, number, hub, hosts, engine),
-                Departure::Wait(what) => self.keep(now, number, what, hub, hosts),
-                Departure::Never(_) => self.take_back(number, hub, hosts),
+                Departure::Now => self.allow(now, number, hub, hosts, engine),
+                Departure::Wait(what) => self.park(now, number, what, hub, hosts),
+                Departure::Never(_) => self.cancel(number, hub, hosts),
             };
             if departure != Departure::Now && (over.is_some() || self.parked_at(number) == Some(now)) {
                 engine.kept_back(departure);
@@ -121,14 +121,14 @@
     }
 
     fn parked_at(&self, number: u64) -> Option<Micros> {
-        match self.pending.get(&number)?.place {
-            Place::Parked(since) => Some(since),
-            Place::Connection(_) => None,
+        match self.pending.get(&number)?.location {
+            Location::Parked(since) => Some(since),
+            Location::Queued(_) => None,
         }
     }
 
-    /// It may leave: an attempt on its connection if its frame still holds, else by a new frame.
-    fn release(
+    /// The item may be sent: an attempt that is queued with a recent frame stays, else it gets a new frame.
+    fn allow(
         &mut self,
         now: Micros,
         number: u64,
@@ -137,20 +137,22 @@
         engine: &Engine,
     ) -> Option<Input> {
         let pending = self.pending.get_mut(&number)?;
-        let is_new = |since: Micros| now.saturating_sub(since) <= FRAME_HOLDS;
-        match (pending.place, &mut pending.work) {
-            (Place::Connection(_), Work::Order(_)) => None,
-            // The ration counts orders by the time at which they are given: it is for the module to give it again.
-            (Place::Parked(_), Work::Order(_)) => {
+        let is_recent = |since: Micros| now.saturating_sub(since) <= MAX_FRAME_AGE;
+        match (pending.location, &mut pending.item) {
+            (Location::Queued(_), Item::Order(_)) => None,
+            // The rate limit counts orders when they are issued, so the decision module must issue it again.
+            (Location::Parked(_), Item::Order(_)) => {
                 self.pending.remove(&number);
                 Some(Input::OrderEnded(number, OrderEnd::CutOff, 0))
             }
-            (Place::Connection(since), Work::Attempt(_)) if is_new(since) || !hosts.take_off(hub, number) => {
+            (Location::Queued(since), Item::Attempt(_))
+                if is_recent(since) || !hosts.unqueue(hub, number) =>
+            {
                 None
             }
-            (_, Work::Attempt(attempt)) => {
+            (_, Item::Attempt(attempt)) => {
                 (attempt.time_left, attempt.timeout) = engine.times_left(now, number)?;
-                pending.place = Place::Connection(now);
+                pending.location = Location::Queued(now);
                 let ended = hosts.run(hub, attempt);
                 if ended.is_some() {
                     self.pending.remove(&number);
@@ -160,8 +162,8 @@
         }
     }
 
-    /// It may not leave yet: it waits here, and its host is asked if that is what it waits for.
-    fn keep(
+    /// The item may not be sent yet: parks it, and probes its host if that is what it waits for.
+    fn park(
         &mut self,
         now: Micros,
         number: u64,
@@ -170,33 +172,31 @@
         hosts: &mut Hosts,
     ) -> Option<Input> {
         let pending = self.pending.get_mut(&number)?;
-        let since = match pending.place {
-            Place::Parked(since) => since,
-            Place::Connection(_) if hosts.take_off(hub, number) => now,
-            Place::Connection(_) => return None,
+        let since = match pending.location {
+            Location::Parked(since) => since,
+            Location::Queued(_) if hosts.unqueue(hub, number) => now,
+            Location::Queued(_) => return None,
         };
-        pending.place = Place::Parked(since);
+        pending.location = Location::Parked(since);
         if what == WaitFor::Worker {
-            hosts.ask(hub, now, pending.work.worker());
+            hosts.request_probe(hub, now, pending.item.worker());
         }
-        match pending.work {
-            Work::Attempt(_) if since.saturating_add(ATTEMPT_WAITS) <= now => {
-                self.take_back(number, hub, hosts)
-            }
-            Work::Attempt(_) | Work::Order(_) => None,
+        match pending.item {
+            Item::Attempt(_) if since.saturating_add(MAX_PARKED) <= now => self.cancel(number, hub, hosts),
+            Item::Attempt(_) | Item::Order(_) => None,
         }
     }
 
-    /// It may not leave at all.
-    fn take_back(&mut self, number: u64, hub: &mut Hub, hosts: &mut Hosts) -> Option<Input> {
+    /// The item may not be sent at all: cancels it.
+    fn cancel(&mut self, number: u64, hub: &mut Hub, hosts: &mut Hosts) -> Option<Input> {
         let pending = self.pending.remove(&number)?;
-        let here = matches!(pending.place, Place::Parked(_));
-        if !here && !hosts.take_off(hub, number) {
+        let is_parked = matches!(pending.location, Location::Parked(_));
+        if !is_parked && !hosts.unqueue(hub, number) {
             return None;
         }
-        Some(match pending.work {
-            Work::Attempt(_) => Input::AttemptEnded(number, AttemptEnd::TakenBack, Vec::new(), None),
-            Work::Order(_) => Input::OrderEnded(number, OrderEnd::NotConnected, 0),
+        Some(match pending.item {
+            Item::Attempt(_) => Input::AttemptEnded(number, AttemptEnd::TakenBack, Vec::new(), None),
+            Item::Order(_) => Input::OrderEnded(number, OrderEnd::NotConnected, 0),
         })
     }
 }
--- a/crates/platform/src/lateness.rs
+++ b/crates/platform/src/lateness.rs
@@ -1,37 +1,37 @@
-//! How late the loop is, and the margin before a deadline that follows from it.
+//! Event-loop lag, and the safety margin before deadlines that follows from it.
 //!
-//! A gateway has a part of a core, and others may use the same one: a wake-up comes late now and then, and a last
-//! answer that is given on time by the module must still be with its client in time.
+//! A gateway may share its core: wake-ups come late now and then, and an answer that the decision module
+//! gives right before the deadline must still reach its client in time.
 
 use cresswheel::Micros;
 
-/// The worst of this span counts, and of the one before.
+/// The maximum over the current and the previous span of this length counts.
 const SPAN: Micros = 5_000_000;
-/// The margin never takes more than this from a request's time.
-const MOST: Micros = 100_000;
+/// Upper limit of the margin, which shortens the time of each request.
+const MAX_MARGIN: Micros = 100_000;
 
-/// The worst lateness of the last spans.
+/// The maximum event-loop lag of the last two spans.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Lateness {
-    began: Micros,
-    worst: Micros,
-    before: Micros,
+pub struct LoopLag {
+    span_start: Micros,
+    current_max: Micros,
+    previous_max: Micros,
 }
 
-impl Lateness {
-    /// Something that was due at `due` was seen to now.
-    pub fn saw(&mut self, now: Micros, due: Micros) {
-        if now.saturating_sub(self.began) >= SPAN {
-            let stale = now.saturating_sub(self.began) >= 2 * SPAN;
-            self.before = if stale { 0 } else { self.worst };
-            (self.began, self.worst) = (now, 0);
+impl LoopLag {
+    /// Records that work due at `due` was started now.
+    pub fn record(&mut self, now: Micros, due: Micros) {
+        if now.saturating_sub(self.span_start) >= SPAN {
+            let stale = now.saturating_sub(self.span_start) >= 2 * SPAN;
+            self.previous_max = if stale { 0 } else { self.current_max };
+            (self.span_start, self.current_max) = (now, 0);
         }
-        self.worst = self.worst.max(now.saturating_sub(due));
+        self.current_max = self.current_max.max(now.saturating_sub(due));
     }
 
-    /// The margin: twice the worst lateness, and what is wanted at the least.
+    /// The margin: `least` plus twice the maximum lag, within the limit.
     pub fn margin(&self, least: Micros) -> Micros {
-        (least + 2 * self.worst.max(self.before)).min(MOST.max(least))
+        (least + 2 * self.current_max.max(self.previous_max)).min(MAX_MARGIN.max(least))
     }
 }
 
@@ -40,18 +40,18 @@
     use super::*;
 
     #[test]
-    fn the_margin_follows_the_worst_lateness_for_two_spans_and_has_a_bound() {
-        let mut lateness = Lateness::default();
-        assert_eq!(lateness.margin(10_000), 10_000);
-        lateness.saw(SPAN, SPAN - 20_000);
-        assert_eq!(lateness.margin(10_000), 50_000);
-        lateness.saw(2 * SPAN, 2 * SPAN - 1_000);
-        assert_eq!(lateness.margin(10_000), 50_000, "the span before still counts");
-        lateness.saw(3 * SPAN, 3 * SPAN);
-        assert_eq!(lateness.margin(10_000), 12_000);
-        lateness.saw(9 * SPAN, 9 * SPAN);
-        assert_eq!(lateness.margin(10_000), 10_000);
-        lateness.saw(9 * SPAN, 8 * SPAN);
-        assert_eq!(lateness.margin(10_000), MOST);
+    fn the_margin_follows_the_maximum_lag_of_two_spans_and_is_bounded() {
+        let mut loop_lag = LoopLag::default();
+        assert_eq!(loop_lag.margin(10_000), 10_000);
+        loop_lag.record(SPAN, SPAN - 20_000);
+        assert_eq!(loop_lag.margin(10_000), 50_000);
+        loop_lag.record(2 * SPAN, 2 * SPAN - 1_000);
+        assert_eq!(loop_lag.margin(10_000), 50_000, "the span before still counts");
+        loop_lag.record(3 * SPAN, 3 * SPAN);
+        assert_eq!(loop_lag.margin(10_000), 12_000);
+        loop_lag.record(9 * SPAN, 9 * SPAN);
+        assert_eq!(loop_lag.margin(10_000), 10_000);
+        loop_lag.record(9 * SPAN, 8 * SPAN);
+        assert_eq!(loop_lag.margin(10_000), MAX_MARGIN);
     }
 }
--- a/crates/transport/src/watch.rs
+++ b/crates/transport/src/watch.rs
@@ -1,9 +1,9 @@
-//! Which sockets have something to read or can be written: one epoll for the sockets of clients, one for the
-//! program's own (workers, list, trunks), each a source in the calloop loop.
+//! Socket readiness: one epoll instance for accepted connections, one for the program's own (workers, list,
+//! trunks), each a source in the calloop loop.
 //!
-//! Why not a calloop source a socket: that costs an allocation, a slot and a callback each, about 400 bytes; here
-//! an idle socket costs nothing in the process beyond the file descriptor. Why two: the program can leave its
-//! clients waiting in the kernel while it reads its own peers on.
+//! A calloop source per socket would cost an allocation, a slot and a callback each, about 400 bytes; here an
+//! idle socket takes no memory in the process beyond its descriptor. With two instances the program can leave
+//! clients waiting in the kernel while it keeps reading from its own peers.
 
 use std::io;
 use std::os::fd::{AsFd, OwnedFd};
@@ -12,47 +12,47 @@
 use rustix::buffer::spare_capacity;
 use rustix::event::epoll::{self, CreateFlags, EventData, EventFlags};
 
-/// Most sockets looked at in one turn on each side, so that a turn stays short.
-pub const AT_ONCE: usize = 256;
-/// How long the machine may take to wake this process once a socket is ready, as far as the loop can tell.
-pub const WAKING: Micros = 1_000;
-/// Keys with this bit are listeners, those with the next one sockets for datagrams.
-const LISTENERS: u64 = 1 << 63;
-const DATAGRAMS: u64 = 1 << 62;
+/// Maximum events per poll on each side, to keep an iteration short.
+pub const MAX_EVENTS: usize = 256;
+/// Assumed maximum latency between a socket becoming ready and the process waking up.
+pub const WAKE_LATENCY: Micros = 1_000;
+/// Keys with the first bit are listeners, those with the second datagram sockets.
+const LISTENER_BIT: u64 = 1 << 63;
+const DATAGRAM_BIT: u64 = 1 << 62;
 
-/// What a socket is ready for.
+/// The readiness of a socket.
 #[derive(Clone, Copy, Debug)]
-pub struct Ready {
+pub struct Readiness {
     pub readable: bool,
     pub writable: bool,
-    /// The other side has ended it; told with the bytes before that.
+    /// The peer has closed its side; reported together with the bytes before that.
     pub ended: bool,
     pub broken: bool,
 }
 
-pub enum Seen {
-    Connection(u64, Ready),
+pub enum PollEvent {
+    Connection(u64, Readiness),
     Listener(usize),
     Datagrams(usize),
 }
 
-pub struct Watch {
+pub struct Poller {
     epoll: OwnedFd,
     events: Vec<epoll::Event>,
-    /// All that was ready at that time has been seen: what is ready later became so after it.
+    /// Everything ready at this time was reported: other sockets became ready later.
     pub drained: Micros,
 }
 
-/// What a socket is watched for, beside its being broken.
+/// The events to poll a socket for, besides errors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Wanted {
+pub struct PollInterest {
     pub read: bool,
     pub write: bool,
-    /// That the other side ends it, though its bytes are not read.
+    /// Closing by the peer, even though its bytes are not read.
     pub end: bool,
 }
 
-impl Wanted {
+impl PollInterest {
     fn flags(self) -> EventFlags {
         let mut flags = EventFlags::empty();
         flags.set(EventFlags::IN, self.read);
@@ -62,43 +62,44 @@
     }
 }
 
-impl Watch {
+impl Poller {
     pub fn new(now: Micros) -> io::Result<Self> {
         let epoll = epoll::create(CreateFlags::CLOEXEC)?;
-        Ok(Self { epoll, events: Vec::with_capacity(AT_ONCE), drained: now })
+        Ok(Self { epoll, events: Vec::with_capacity(MAX_EVENTS), drained: now })
     }
 
-    /// For the loop that sleeps: readable when a socket here is ready.
+    /// A descriptor for the event loop: readable when a socket here is ready.
     pub fn fd(&self) -> io::Result<OwnedFd> {
         self.epoll.try_clone()
     }
 
-    pub fn add(&self, socket: impl AsFd, id: u64, interest: Wanted) -> io::Result<()> {
+    pub fn add(&self, socket: impl AsFd, id: u64, interest: PollInterest) -> io::Result<()> {
         Ok(epoll::add(&self.epoll, socket, EventData::new_u64(id), interest.flags())?)
     }
 
-    pub fn change(&self, socket: impl AsFd, id: u64, interest: Wanted) -> io::Result<()> {
+    pub fn change(&self, socket: impl AsFd, id: u64, interest: PollInterest) -> io::Result<()> {
         Ok(epoll::modify(&self.epoll, socket, EventData::new_u64(id), interest.flags())?)
     }
 
     pub fn remove(&self, socket: impl AsFd) {
-        // It closes next; then the kernel forgets it anyway.
+        // The socket is closed next, which removes it anyway.
         let _ = epoll::delete(&self.epoll, socket);
     }
 
-    /// Processes that share a listener are not all woken for one connection.
+    /// Exclusive, so that one connection doesn't wake all processes that share a listener.
     pub fn add_listener(&self, socket: impl AsFd, number: usize) -> io::Result<()> {
-        let data = EventData::new_u64(LISTENERS | number as u64);
+        let data = EventData::new_u64(LISTENER_BIT | number as u64);
         Ok(epoll::add(&self.epoll, socket, data, EventFlags::IN | EventFlags::EXCLUSIVE)?)
     }
 
     pub fn add_datagrams(&self, socket: impl AsFd, number: usize) -> io::Result<()> {
-        let data = EventData::new_u64(DATAGRAMS | number as u64);
+        let data = EventData::new_u64(DATAGRAM_BIT | number as u64);
         Ok(epoll::add(&self.epoll, socket, data, EventFlags::IN)?)
     }
 
-    /// What is ready, without waiting, and the earliest time at which it can have become so.
-    pub fn look(&mut self, now: Micros, seen: &mut Vec<(Micros, Seen)>) -> io::Result<usize> {
+    /// Polls without blocking; gives the ready sockets and the earliest time at which each can have become
+    /// ready.
+    pub fn poll(&mut self, now: Micros, events_out: &mut Vec<(Micros, PollEvent)>) -> io::Result<usize> {
         let zero = rustix::event::Timespec { tv_sec: 0, tv_nsec: 0 };
         self.events.clear();
         match epoll::wait(&self.epoll, spare_capacity(&mut self.events), Some(&zero)) {
@@ -109,37 +110,42 @@
         for event in &self.events {
             let (id, flags) = (event.data.u64(), event.flags);
             let broken = flags.intersects(EventFlags::ERR | EventFlags::HUP);
-            let ready = Ready {
+            let ready = Readiness {
                 readable: flags.contains(EventFlags::IN) || broken,
                 writable: flags.contains(EventFlags::OUT) || broken,
                 ended: flags.contains(EventFlags::RDHUP) || broken,
                 broken,
             };
-            let what = match id & (LISTENERS | DATAGRAMS) {
-                0 => Seen::Connection(id, ready),
-                LISTENERS => Seen::Listener((id & !LISTENERS) as usize),
-                _ => Seen::Datagrams((id & !DATAGRAMS) as usize),
+            let what = match id & (LISTENER_BIT | DATAGRAM_BIT) {
+                0 => PollEvent::Connection(id, ready),
+                LISTENER_BIT => PollEvent::Listener((id & !LISTENER_BIT) as usize),
+                _ => PollEvent::Datagrams((id & !DATAGRAM_BIT) as usize),
             };
-            seen.push((self.drained, what));
+            events_out.push((self.drained, what));
         }
-        if count < AT_ONCE {
+        if count < MAX_EVENTS {
             self.drained = now;
         }
         Ok(count)
     }
 
-    /// Looks only for connections that the other side has ended; all else that is ready stays unseen.
-    pub fn look_for_ends(&mut self, now: Micros, seen: &mut Vec<(Micros, Seen)>) -> io::Result<usize> {
-        let (drained, before) = (self.drained, seen.len());
-        self.look(now, seen)?;
+    /// Polls only for connections that the peer has closed; other events stay pending.
+    pub fn poll_hangups(
+        &mut self,
+        now: Micros,
+        events_out: &mut Vec<(Micros, PollEvent)>,
+    ) -> io::Result<usize> {
+        let (drained, before) = (self.drained, events_out.len());
+        self.poll(now, events_out)?;
         self.drained = drained;
-        let ends = seen.split_off(before).into_iter();
-        seen.extend(ends.filter(|(_, what)| matches!(what, Seen::Connection(_, ready) if ready.ended)));
-        Ok(seen.len() - before)
+        let ends = events_out.split_off(before).into_iter();
+        events_out
+            .extend(ends.filter(|(_, what)| matches!(what, PollEvent::Connection(_, ready) if ready.ended)));
+        Ok(events_out.len() - before)
     }
 
-    /// The loop slept until now with nothing ready here: what ended the sleep came at its end.
-    pub fn slept(&mut self, until: Micros) {
-        self.drained = self.drained.max(until.saturating_sub(WAKING));
+    /// The event loop was idle until now with nothing ready here: what ended the sleep became ready then.
+    pub fn idle_until(&mut self, until: Micros) {
+        self.drained = self.drained.max(until.saturating_sub(WAKE_LATENCY));
     }
 }
