--- a/crates/carriers/examples/connection_cost.rs
+++ b/crates/carriers/examples/connection_cost.rs
@@ -13,7 +13,7 @@
 
 use cresswheel::WorkerId;
 use cresswheel_carriers::{Cargo, CarrierLimits, Carriers};
-use cresswheel_measure::{Series, resident_bytes, thread_time, value_of_child};
+use cresswheel_measure::{Series, resident_bytes, run_child_for_value, thread_cpu_time};
 use cresswheel_transport::{Hub, HubLimits, Notice, Wire};
 
 const CONNECTIONS: [usize; 5] = [200, 1_000, 2_000, 4_000, 8_000];
@@ -115,11 +115,11 @@
     let before = resident_bytes().expect("/proc");
     fixture.connect(address, 50..50 + connections);
     let grown = resident_bytes().expect("/proc") - before;
-    let began = thread_time();
+    let began = thread_cpu_time();
     for _ in 0..SEARCHES {
         fixture.carriers.close_idle(&mut fixture.hub, HOUR);
     }
-    let search_us = (thread_time() - began).as_secs_f64() * 1e6 / SEARCHES as f64;
+    let search_us = (thread_cpu_time() - began).as_secs_f64() * 1e6 / SEARCHES as f64;
     drop(child.stdin.take());
     child.wait().expect("its end");
     (grown, search_us)
@@ -142,7 +142,8 @@
         let mut series = Series::new(name, unit, "connections");
         for connections in CONNECTIONS {
             let child = [what.to_owned(), connections.to_string()];
-            series.add(connections, (0..RUNS).map(|_| value_of_child(&child).expect("a child")).collect());
+            series
+                .add(connections, (0..RUNS).map(|_| run_child_for_value(&child).expect("a child")).collect());
         }
         println!("{series}");
     }
--- a/crates/cli/examples/gateway_control.rs
+++ b/crates/cli/examples/gateway_control.rs
@@ -13,7 +13,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-use cresswheel_measure::{Series, processor_time_of, resident_bytes_of};
+use cresswheel_measure::{Series, process_cpu_time, resident_bytes_of};
 use cresswheel_protocol::{Decoder, Limits, Listed, Message, Standing, encode};
 
 const WORKERS: [usize; 4] = [100, 1_000, 2_000, 5_000];
@@ -143,7 +143,7 @@
 
     /// Microseconds of the gateway's processor time so far.
     fn used(&self) -> f64 {
-        processor_time_of(self.gateway.id()).expect("/proc").as_secs_f64() * 1e6
+        process_cpu_time(self.gateway.id()).expect("/proc").as_secs_f64() * 1e6
     }
 
     /// Bytes that it handed to files and sockets so far.
--- a/crates/engine/examples/cold_start.rs
+++ b/crates/engine/examples/cold_start.rs
@@ -28,11 +28,11 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::ops::Range;
 
-use cresswheel::{Class, Effect, OrderRation, Settings, WhenAbsent, WorkerId};
+use cresswheel::{Class, Effect, MissPolicy, OrderRateLimit, Settings, WorkerId};
 use cresswheel_engine::{
     AdmissionLimits, AttemptEnd, Call, Client, Engine, EngineSettings, Input, OrderEnd, Output, ResultLimits,
 };
-use cresswheel_measure::thread_time;
+use cresswheel_measure::thread_cpu_time;
 use cresswheel_protocol::{Ending, Listed, Message, Shape, Standing, encode};
 
 const MS: u64 = 1_000;
@@ -132,8 +132,8 @@
 fn settings(order_limit: f64) -> EngineSettings {
     let check = Class {
         name: "check".into(),
-        aim: LATENCY_OBJECTIVE,
-        give_up: 5 * S,
+        latency_objective: LATENCY_OBJECTIVE,
+        client_timeout: 5 * S,
         effect: Effect::Safe,
         streamed: false,
         worth: 1.0,
@@ -143,28 +143,28 @@
         gateways: GATEWAYS,
         classes: vec![check],
         keep_alive: KEEP_ALIVE,
-        when_absent: WhenAbsent::Miss,
-        may_order: true,
-        most_instances: 1,
+        miss_policy: MissPolicy::Miss,
+        may_prewarm: true,
+        max_instances_per_order: 1,
         may_cancel: true,
         may_probe: true,
-        tells_crowd: true,
+        reports_in_flight: true,
         max_attempts: 4,
         order_timeout: 10 * S,
         connect_timeout: 250 * MS,
-        ration: (order_limit > 0.0).then_some(OrderRation {
+        order_rate_limit: (order_limit > 0.0).then_some(OrderRateLimit {
             window: 5 * S,
-            free: 6.0,
+            base_orders: 6.0,
             per_request: order_limit,
         }),
         ..Settings::default()
     };
     EngineSettings {
-        module,
+        dispatcher: module,
         admission: AdmissionLimits::default(),
         results: ResultLimits::default(),
         answer_margin: 10 * MS,
-        most_time: 600 * S,
+        max_time: 600 * S,
         deferred_time: 60 * S,
     }
 }
@@ -248,7 +248,7 @@
     fn execute(&mut self, output: Output) {
         match output {
             Output::Run(attempt) => self.run(attempt.number, attempt.worker, &attempt.call, &attempt.id),
-            Output::Hold { worker, order, function, count, shape } => {
+            Output::Prewarm { worker, order, function, count, shape } => {
                 let message = Message::Hold { order, function: function.to_string(), count, shape };
                 self.count(&message);
                 let reached = self.now + self.delivery_time(&worker, false);
@@ -265,12 +265,12 @@
                 self.orders.insert(function.clone(), (self.now, reached, loaded + ONE_WAY));
                 self.push(loaded + ONE_WAY, Arrival::OrderAnswer { order, worker, function, began: loaded });
             }
-            Output::Drop(worker, function) => {
+            Output::Unload(worker, function) => {
                 self.count(&Message::Drop { function: function.to_string() });
                 self.loaded_until.remove(&(worker, function.to_string()));
             }
             Output::Probe(_) => self.count(&Message::Probe { number: 0 }),
-            Output::CancelRun(_, attempt) => self.count(&Message::CancelRun { attempt }),
+            Output::CancelAttempt(_, attempt) => self.count(&Message::CancelRun { attempt }),
             Output::Answer(client, answer) => self.answered(client.number, &answer),
             _ => {}
         }
@@ -361,9 +361,9 @@
             class: "check".into(),
             tenant: String::new(),
             key: String::new(),
-            is_key_for_workers: false,
+            workers_deduplicate: false,
             trace: self.calls_sent.to_string(),
-            time_left: 0,
+            timeout: 0,
             shape: Shape { memory_mb: 500, lanes: 4, load_time: self.parameters.load, work: CALL_TIME },
             body: Vec::new(),
             account: None,
@@ -517,7 +517,7 @@
         zone_at: (zone_at > 0.0).then_some(START + zone_at as u64 * S),
     };
     let mut simulation = Simulation::new(parameters);
-    let began = thread_time();
+    let began = thread_cpu_time();
     simulation.run_until(START + seconds as u64 * S);
-    print(&simulation, simulation.parameters.seconds, (thread_time() - began).as_secs_f64());
+    print(&simulation, simulation.parameters.seconds, (thread_cpu_time() - began).as_secs_f64());
 }
--- a/crates/engine/examples/engine_state.rs
+++ b/crates/engine/examples/engine_state.rs
@@ -10,12 +10,12 @@
 use std::hint::black_box;
 
 use cresswheel::{
-    Class, Dispatcher, Effect, Event, ListNews, Settings, WhenAbsent, WorkerEntry, WorkerState,
+    Class, Dispatcher, Effect, Event, MissPolicy, Settings, WorkerEntry, WorkerListUpdate, WorkerState,
 };
 use cresswheel_engine::{
     AdmissionLimits, AttemptEnd, Call, Client, Engine, EngineSettings, Input, Output, ResultLimits,
 };
-use cresswheel_measure::{Series, Spread, resident_bytes, thread_time, value_of_child};
+use cresswheel_measure::{Series, Spread, resident_bytes, run_child_for_value, thread_cpu_time};
 use cresswheel_protocol::{Ending, Listed, Shape, Standing};
 
 const MS: u64 = 1_000;
@@ -32,8 +32,8 @@
 fn settings() -> EngineSettings {
     let check = Class {
         name: "check".into(),
-        aim: 570 * MS,
-        give_up: 5 * S,
+        latency_objective: 570 * MS,
+        client_timeout: 5 * S,
         effect: Effect::Safe,
         streamed: false,
         worth: 1.0,
@@ -43,15 +43,15 @@
         gateways: 680,
         classes: vec![check],
         keep_alive: 10 * S,
-        when_absent: WhenAbsent::Load,
-        most_instances: 1,
+        miss_policy: MissPolicy::Load,
+        max_instances_per_order: 1,
         may_cancel: true,
         max_attempts: 4,
         order_timeout: 10 * S,
         ..Settings::default()
     };
     EngineSettings {
-        module,
+        dispatcher: module,
         admission: AdmissionLimits {
             open_calls: 100_000,
             open_bytes: 1 << 30,
@@ -60,7 +60,7 @@
         },
         results: ResultLimits::default(),
         answer_margin: 10 * MS,
-        most_time: 600 * S,
+        max_time: 600 * S,
         deferred_time: 60 * S,
     }
 }
@@ -111,9 +111,9 @@
             class: "check".into(),
             tenant: "tenant-0123".into(),
             key: key.into(),
-            is_key_for_workers: false,
+            workers_deduplicate: false,
             trace: format!("{:032x}", self.calls_sent),
-            time_left: 0,
+            timeout: 0,
             shape: Shape { memory_mb: 500, lanes: 4, load_time: 400 * MS, work: 25 * MS },
             body: Vec::new(),
             account: None,
@@ -188,9 +188,9 @@
 }
 
 fn time_per_run(mut work: impl FnMut(), times: usize) -> f64 {
-    let began = thread_time();
+    let began = thread_cpu_time();
     (0..times).for_each(|_| work());
-    (thread_time() - began).as_secs_f64() * 1e6 / times as f64
+    (thread_cpu_time() - began).as_secs_f64() * 1e6 / times as f64
 }
 
 /// The time of an update with the whole list, without a change.
@@ -223,15 +223,15 @@
         state,
         started: None,
     };
-    let mut dispatcher = Dispatcher::new(settings().module, 7).expect("sound settings");
+    let mut dispatcher = Dispatcher::new(settings().dispatcher, 7).expect("sound settings");
     let mut actions = Vec::new();
-    let all = (0..workers).map(|number| entry(number, WorkerState::In)).collect();
-    dispatcher.handle(START, Event::List(ListNews::Whole(all)), &mut actions);
+    let all = (0..workers).map(|number| entry(number, WorkerState::InService)).collect();
+    dispatcher.handle(START, Event::List(WorkerListUpdate::Complete(all)), &mut actions);
     let mut number = 0;
     let change = || {
         number += 1;
-        let state = if number % 2 == 0 { WorkerState::In } else { WorkerState::Draining };
-        let update = ListNews::Changes(vec![entry(number / 2 % workers, state)]);
+        let state = if number % 2 == 0 { WorkerState::InService } else { WorkerState::Draining };
+        let update = WorkerListUpdate::Changes(vec![entry(number / 2 % workers, state)]);
         dispatcher.handle(START, Event::List(update), &mut actions);
         actions.clear();
     };
@@ -254,7 +254,7 @@
     let mut series = Series::new(name, "resident bytes", quantity);
     for count in quantities {
         let child = [what.to_owned(), count.to_string()];
-        series.add(*count, (0..RUNS).map(|_| value_of_child(&child).expect("a child")).collect());
+        series.add(*count, (0..RUNS).map(|_| run_child_for_value(&child).expect("a child")).collect());
     }
     println!("{series}");
 }
--- a/crates/engine/src/counters.rs
+++ b/crates/engine/src/counters.rs
@@ -11,15 +11,15 @@
     /// Names of the classes, in the order of the settings.
     pub classes: Vec<String>,
     /// Accepted calls, by class.
-    pub taken: Vec<u64>,
+    pub accepted: Vec<u64>,
     /// Final answers, by class, status and reason.
     pub answers: BTreeMap<(usize, Status, &'static str), u64>,
     /// Calls rejected by admission control, by reason.
-    pub turned_away: BTreeMap<&'static str, u64>,
+    pub rejected: BTreeMap<&'static str, u64>,
     /// Ended attempts, by how they ended.
     pub attempts: BTreeMap<&'static str, u64>,
     /// Prewarm orders sent.
-    pub orders: u64,
+    pub prewarm_orders: u64,
     /// Dropped answers to attempts that had ended or never existed.
     pub late_answers: u64,
     /// Repeated calls, matched to an open call or a kept result by their key.
@@ -29,9 +29,9 @@
     /// Results dropped early because the memory limit was reached.
     pub results_evicted: u64,
     /// List entries skipped because the list was too long or their id was empty.
-    pub list_passed_over: u64,
+    pub list_entries_skipped: u64,
     /// Attempts and orders that were delayed or canceled right before sending, by reason.
-    pub kept_back: BTreeMap<&'static str, u64>,
+    pub unsent: BTreeMap<&'static str, u64>,
     /// Attempts and orders that were sent against a rule, by rule. Any count is a bug of this program.
     pub violations: BTreeMap<&'static str, u64>,
 }
@@ -39,7 +39,7 @@
 impl Counters {
     pub(crate) fn new(classes: &[Class]) -> Self {
         let names = classes.iter().map(|class| class.name.clone()).collect();
-        Self { classes: names, taken: vec![0; classes.len()], ..Self::default() }
+        Self { classes: names, accepted: vec![0; classes.len()], ..Self::default() }
     }
 }
 
--- a/crates/engine/src/departure.rs
+++ b/crates/engine/src/departure.rs
@@ -30,78 +30,78 @@
 
 /// Whether something may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Departure {
+pub enum SendDecision {
     /// It may be sent now.
-    Now,
+    Allow,
     /// Not yet: more information is needed first.
-    Wait(WaitFor),
+    Defer(MissingEvidence),
     /// It must not be sent any more: cancel it.
-    Never(Barred),
+    Deny(DenyReason),
 }
 
 /// The information that is needed before something may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WaitFor {
+pub enum MissingEvidence {
     /// A response of the list service.
-    List,
+    ListResponse,
     /// The worker's report that it serves.
-    Worker,
+    WorkerReport,
     /// Responses of the list service that agree about the worker.
-    Agreement,
+    AgreeingResponses,
 }
 
 /// Why something must not be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Barred {
+pub enum DenyReason {
     /// The call was answered, or its client disconnected.
-    CallOver,
+    CallEnded,
     /// The call's deadline has passed.
     DeadlinePassed,
     /// The workers may no longer remember the call's earlier attempt, so a retry might run twice.
-    MemoryPassed,
+    RetryWindowPassed,
     /// The worker is draining or gone.
-    WorkerLeaves,
+    WorkerLeaving,
 }
 
-impl Barred {
+impl DenyReason {
     /// The name used in logs and counters.
     pub fn word(self) -> &'static str {
         match self {
-            Self::CallOver => "call-over",
+            Self::CallEnded => "call-over",
             Self::DeadlinePassed => "deadline-passed",
-            Self::MemoryPassed => "memory-passed",
-            Self::WorkerLeaves => "worker-leaves",
+            Self::RetryWindowPassed => "memory-passed",
+            Self::WorkerLeaving => "worker-leaves",
         }
     }
 }
 
 /// How long the worker list may be relied on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ListTerms {
+pub struct ListValidity {
     /// An event counts as notified at most this long after it happened, whether or not a response reported
     /// it.
-    pub told_within: Micros,
+    pub notified_within: Micros,
     /// The same while the list service does not respond, counted from the start of the silence.
-    pub told_in_silence: Micros,
+    pub notified_within_in_silence: Micros,
     /// Grace period: how long after the notification that a worker is leaving new work may still be sent to
     /// it.
-    pub grace: Micros,
+    pub drain_grace: Micros,
     /// This many consecutive polls without a response count as a silence of the service, not as lost
     /// messages.
-    pub silent_after: u32,
+    pub silent_after_polls: u32,
     /// Workers can be probed for whether they serve.
-    pub workers_answer: bool,
+    pub can_probe_workers: bool,
 }
 
-impl ListTerms {
+impl ListValidity {
     /// How long a list or a worker's report may be relied on: until an event right after it counts as
     /// notified and its grace period is over.
     fn valid_for(&self) -> Micros {
-        (self.told_within + self.grace).saturating_sub(SEND_MARGIN)
+        (self.notified_within + self.drain_grace).saturating_sub(SEND_MARGIN)
     }
 
     fn valid_in_silence(&self) -> Micros {
-        (self.told_in_silence + self.grace).saturating_sub(SEND_MARGIN)
+        (self.notified_within_in_silence + self.drain_grace).saturating_sub(SEND_MARGIN)
     }
 }
 
@@ -111,21 +111,21 @@
     /// The list contains all events up to this time, at which the answered poll was sent.
     pub as_of: Micros,
     /// When the response to that poll arrived.
-    pub heard: Micros,
+    pub received_at: Micros,
     /// When the first poll after that one was sent.
-    pub first_unanswered: Option<Micros>,
+    pub next_poll_at: Option<Micros>,
     /// When the first poll after that one without a response was sent.
-    pub first_missing: Option<Micros>,
+    pub first_missing_poll_at: Option<Micros>,
     /// Polls sent since the last response.
-    pub unanswered: u32,
+    pub unanswered_polls: u32,
     /// Polling was interrupted since then by a pause of this process.
-    pub unasked: bool,
+    pub polling_interrupted: bool,
 }
 
 impl ListAge {
     /// How long the last accepted response took.
     fn latency(&self) -> Micros {
-        self.heard.saturating_sub(self.as_of)
+        self.received_at.saturating_sub(self.as_of)
     }
 
     /// The list service responds, but late.
@@ -136,15 +136,15 @@
     /// The list was current when the first poll without a response was sent.
     fn was_current_until_silence(&self) -> bool {
         let kept_polling =
-            self.first_unanswered.is_some_and(|first| first.saturating_sub(self.as_of) <= MAX_CURRENT_DELAY);
-        kept_polling && !self.unasked && !self.is_slow()
+            self.next_poll_at.is_some_and(|first| first.saturating_sub(self.as_of) <= MAX_CURRENT_DELAY);
+        kept_polling && !self.polling_interrupted && !self.is_slow()
     }
 }
 
 /// The age of the list, the reports of workers and the disputed workers.
 #[derive(Debug, Default)]
 pub(crate) struct SendGate {
-    terms: Option<ListTerms>,
+    terms: Option<ListValidity>,
     age: ListAge,
     /// Workers that reported to serve, with the time of the probe.
     serving_reports: BTreeMap<WorkerId, Micros>,
@@ -158,7 +158,7 @@
 
 impl SendGate {
     /// Limits from now on how long the list may be relied on.
-    pub fn limit_list_age(&mut self, terms: ListTerms, age: ListAge) {
+    pub fn limit_list_age(&mut self, terms: ListValidity, age: ListAge) {
         (self.terms, self.age) = (Some(terms), age);
     }
 
@@ -188,7 +188,7 @@
     /// workers can't be probed.
     pub fn withheld(&self) -> BTreeSet<WorkerId> {
         match self.terms {
-            Some(terms) if !terms.workers_answer && self.is_service_silent(&terms) => {
+            Some(terms) if !terms.can_probe_workers && self.is_service_silent(&terms) => {
                 self.disputed_since.keys().cloned().collect()
             }
             _ => BTreeSet::new(),
@@ -199,11 +199,11 @@
     pub fn is_treated_as_draining(&self, worker: &WorkerId) -> bool {
         self.reports_leaving(worker)
             || self.disputed_since.contains_key(worker)
-                && self.terms.is_some_and(|terms| !terms.workers_answer && self.is_service_silent(&terms))
+                && self.terms.is_some_and(|terms| !terms.can_probe_workers && self.is_service_silent(&terms))
     }
 
-    fn is_service_silent(&self, terms: &ListTerms) -> bool {
-        self.age.unanswered >= terms.silent_after
+    fn is_service_silent(&self, terms: &ListValidity) -> bool {
+        self.age.unanswered_polls >= terms.silent_after_polls
     }
 
     /// The worker was probed after it became disputed, and reported that it serves.
@@ -221,7 +221,7 @@
     pub fn expire_leave_reports(&mut self) -> Vec<WorkerId> {
         let Some(terms) = self.terms else { return Vec::new() };
         let as_of = self.age.as_of;
-        let is_superseded = |probed_at: Micros| probed_at.saturating_add(terms.told_within) < as_of;
+        let is_superseded = |probed_at: Micros| probed_at.saturating_add(terms.notified_within) < as_of;
         let superseded: Vec<_> = self
             .leaving_reports
             .iter()
@@ -258,54 +258,54 @@
     }
 
     /// Whether something may be sent to a worker with this standing on the list.
-    pub fn decide(&self, now: Micros, worker: &WorkerId, standing: Option<Standing>) -> Departure {
+    pub fn decide(&self, now: Micros, worker: &WorkerId, standing: Option<Standing>) -> SendDecision {
         if standing != Some(Standing::In) || self.reports_leaving(worker) {
-            return Departure::Never(Barred::WorkerLeaves);
+            return SendDecision::Deny(DenyReason::WorkerLeaving);
         }
-        let Some(terms) = self.terms else { return Departure::Now };
+        let Some(terms) = self.terms else { return SendDecision::Allow };
         if let Some(since) = self.disputed_since.get(worker) {
-            if !self.is_service_silent(&terms) || !terms.workers_answer {
-                return Departure::Wait(WaitFor::Agreement);
+            if !self.is_service_silent(&terms) || !terms.can_probe_workers {
+                return SendDecision::Defer(MissingEvidence::AgreeingResponses);
             }
             if !self.is_confirmed_serving(worker, *since) {
-                return Departure::Wait(WaitFor::Worker);
+                return SendDecision::Defer(MissingEvidence::WorkerReport);
             }
         }
         if now <= self.valid_until(&terms, worker) {
-            return Departure::Now;
+            return SendDecision::Allow;
         }
         if !self.is_service_silent(&terms) && !self.age.is_slow() {
-            return Departure::Wait(WaitFor::List);
+            return SendDecision::Defer(MissingEvidence::ListResponse);
         }
         let until = self.age.as_of.saturating_add(terms.valid_in_silence());
         if self.age.was_current_until_silence() && now <= until {
-            return Departure::Now;
+            return SendDecision::Allow;
         }
         // If workers can't be probed, the last known list stays in use: without the list service there is no
         // better source.
-        match terms.workers_answer {
-            true => Departure::Wait(WaitFor::Worker),
-            false => Departure::Now,
+        match terms.can_probe_workers {
+            true => SendDecision::Defer(MissingEvidence::WorkerReport),
+            false => SendDecision::Allow,
         }
     }
 
     /// Until when the list or the worker's report may be relied on.
-    fn valid_until(&self, terms: &ListTerms, worker: &WorkerId) -> Micros {
+    fn valid_until(&self, terms: &ListValidity, worker: &WorkerId) -> Micros {
         let known = self.serving_reports.get(worker).copied().unwrap_or(0).max(self.age.as_of);
         let until = known.saturating_add(terms.valid_for());
         // The missing response may have been sent and lost, with at most the latency of the last one: its
         // contents count as notified then.
-        let missing = self.age.first_missing.filter(|missing| *missing >= known);
+        let missing = self.age.first_missing_poll_at.filter(|missing| *missing >= known);
         let notified = missing.map(|missing| missing.saturating_add(self.age.latency()));
         notified.map_or(until, |notified| {
-            until.min(notified.saturating_add(terms.grace).saturating_sub(SEND_MARGIN))
+            until.min(notified.saturating_add(terms.drain_grace).saturating_sub(SEND_MARGIN))
         })
     }
 
     /// Whether a send to this worker breaks the drain rule: the worker has been known to be leaving, or has
     /// been disputed, for longer than the grace period.
     pub fn is_past_grace(&self, now: Micros, worker: &WorkerId) -> bool {
-        let grace = self.terms.map_or(0, |terms| terms.grace);
+        let grace = self.terms.map_or(0, |terms| terms.drain_grace);
         let disputed =
             self.disputed_since.get(worker).filter(|since| !self.is_confirmed_serving(worker, **since));
         let since = self.leaving_since.get(worker).or(disputed);
--- a/crates/engine/src/ending.rs
+++ b/crates/engine/src/ending.rs
@@ -42,7 +42,7 @@
         match self {
             Self::NotConnected => Outcome::ConnectFailed,
             // No sign of a failing worker: its next connection may work.
-            Self::NotWritten | Self::TakenBack | Self::NotSent => Outcome::Moot,
+            Self::NotWritten | Self::TakenBack | Self::NotSent => Outcome::NotSent,
             Self::Answered(Ending::Full, _) => Outcome::Full,
             Self::Answered(Ending::Miss | Ending::LoadFailed, _) => Outcome::Miss,
             Self::Answered(Ending::Ok, _) => Outcome::Ok,
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -4,18 +4,20 @@
 use std::sync::Arc;
 
 use cresswheel::{
-    Action, Dispatcher, Effect, Event, FunctionId, Group, ListNews, Micros, Request, RequestId,
-    SettingsError, WorkerEntry, WorkerId, WorkerState,
+    Action, Dispatcher, Effect, Event, FunctionId, Group, Micros, Request, RequestId, SettingsError,
+    WorkerEntry, WorkerId, WorkerListUpdate, WorkerState,
 };
 use cresswheel_protocol::{Ending, Listed, Origin, Shape, Standing, Status};
 use foldhash::{HashMap, HashMapExt};
 
 use crate::admission::Admission;
 use crate::counters::{Counters, increment};
-use crate::departure::{Barred, Departure, ListAge, ListTerms, SendGate, WaitFor};
+use crate::departure::{DenyReason, ListAge, ListValidity, MissingEvidence, SendDecision, SendGate};
 use crate::keys::{IdempotencyKeys, KeyLookup};
 use crate::results::Results;
-use crate::{Answer, Attempt, AttemptEnd, Call, Client, EngineSettings, Input, OrderEnd, Output, Route};
+use crate::{
+    Answer, Attempt, AttemptEnd, Call, Client, EngineSettings, Input, OrderEnd, Output, VersionRoute,
+};
 
 /// Maximum entries of a worker list; further entries are skipped.
 const MAX_WORKERS: usize = 100_000;
@@ -127,9 +129,9 @@
     /// Creates an engine without workers and calls. `incarnation` must be unique to each process: it is part
     /// of every call id and seeds the dispatcher's random tie-breaking.
     pub fn new(settings: EngineSettings, incarnation: u64) -> Result<Self, SettingsError> {
-        let dispatcher = Dispatcher::new(settings.module.clone(), incarnation)?;
-        let classes = settings.module.classes.iter().enumerate().map(|(at, c)| (c.name.clone(), at));
-        let tenants = settings.module.tenants.iter().enumerate().map(|(at, t)| (t.name.clone(), at));
+        let dispatcher = Dispatcher::new(settings.dispatcher.clone(), incarnation)?;
+        let classes = settings.dispatcher.classes.iter().enumerate().map(|(at, c)| (c.name.clone(), at));
+        let tenants = settings.dispatcher.tenants.iter().enumerate().map(|(at, t)| (t.name.clone(), at));
         Ok(Self {
             dispatcher,
             incarnation,
@@ -151,7 +153,7 @@
             worker_list: BTreeMap::new(),
             events: VecDeque::new(),
             actions: Vec::new(),
-            counters: Counters::new(&settings.module.classes),
+            counters: Counters::new(&settings.dispatcher.classes),
             send_gate: SendGate::default(),
             now: 0,
             settings,
@@ -166,7 +168,7 @@
             Input::Call(client, call) => self.handle_call(client, call, out),
             Input::Await(client, id, wait) => self.await_result(client, id, wait, out),
             Input::Cancel(client) => self.cancel(client, out),
-            Input::Left(connection) => {
+            Input::Disconnected(connection) => {
                 let waits = self.clients.get(&connection).into_iter().flatten();
                 for number in waits.map(|(number, _)| *number).collect::<Vec<_>>() {
                     self.cancel(Client { connection, number }, out);
@@ -178,17 +180,19 @@
             Input::OrderEnded(order, end, loaded_instances) => {
                 self.order_ended(order, end, loaded_instances, out)
             }
-            Input::Expected(function, like, within) => {
-                self.events.push_back(Event::Expected { function, like, within });
+            Input::CallsExpected(function, like, within) => {
+                self.events.push_back(Event::CallsExpected { function, similar_to: like, within });
             }
-            Input::Probed(worker) => {
+            Input::ProbeAnswered(worker) => {
                 self.events.push_back(Event::Probed { worker, outcome: cresswheel::Outcome::Ok });
             }
-            Input::WorkerSaid { worker, serves, asked } => self.worker_reported(worker, serves, asked),
+            Input::WorkerReported { worker, serves, probed_at: asked } => {
+                self.worker_reported(worker, serves, asked)
+            }
             Input::ListAge(age) => self.update_list_age(age),
-            Input::ListDisputed(workers) => self.set_disputed(workers),
+            Input::WorkersDisputed(workers) => self.set_disputed(workers),
             Input::List { whole, workers } => self.update_list(whole, workers),
-            Input::ListLost => self.events.push_back(Event::List(ListNews::Lost)),
+            Input::ListUnavailable => self.events.push_back(Event::List(WorkerListUpdate::Unavailable)),
             Input::Drain => self.draining = true,
             Input::Stop => self.stop(out),
             Input::Wake => {}
@@ -229,66 +233,66 @@
     }
 
     /// Applies the settings that may change at run time: limits and times, not those of the dispatcher.
-    pub fn change_bounds(&mut self, settings: &EngineSettings) {
+    pub fn update_limits(&mut self, settings: &EngineSettings) {
         self.admission.limits = settings.admission;
         self.results.limits = settings.results;
         self.settings.admission = settings.admission;
         self.settings.results = settings.results;
         self.settings.answer_margin = settings.answer_margin;
-        self.settings.most_time = settings.most_time;
+        self.settings.max_time = settings.max_time;
         self.settings.deferred_time = settings.deferred_time;
     }
 
     /// Limits from now on how long the worker list may be acted on; `age` is its current age.
-    pub fn hold_to_list_age(&mut self, terms: ListTerms, age: ListAge) {
+    pub fn limit_list_age(&mut self, terms: ListValidity, age: ListAge) {
         self.send_gate.limit_list_age(terms, age);
     }
 
     /// Whether an attempt or order may be sent now. Must be called right before its first byte is sent.
-    pub fn may_leave(&self, now: Micros, number: u64) -> Departure {
+    pub fn may_send(&self, now: Micros, number: u64) -> SendDecision {
         if let Some(order) = self.orders.get(&number) {
             return self.may_send_to(now, &order.worker);
         }
         let Some(in_flight) = self.attempts_in_flight.get(&number) else {
-            return Departure::Never(Barred::CallOver);
+            return SendDecision::Deny(DenyReason::CallEnded);
         };
         match self.open_calls.get(&in_flight.id) {
-            None => Departure::Never(Barred::CallOver),
-            Some(open_call) if open_call.deadline <= now => Departure::Never(Barred::DeadlinePassed),
+            None => SendDecision::Deny(DenyReason::CallEnded),
+            Some(open_call) if open_call.deadline <= now => SendDecision::Deny(DenyReason::DeadlinePassed),
             Some(_) if in_flight.send_by.is_some_and(|send_by| send_by <= now) => {
-                Departure::Never(Barred::MemoryPassed)
+                SendDecision::Deny(DenyReason::RetryWindowPassed)
             }
             Some(_) => self.may_send_to(now, &in_flight.worker),
         }
     }
 
-    fn may_send_to(&self, now: Micros, worker: &WorkerId) -> Departure {
+    fn may_send_to(&self, now: Micros, worker: &WorkerId) -> SendDecision {
         let standing = self.worker_list.get(&*worker.0).map(|listed| listed.standing);
         self.send_gate.decide(now, worker, standing)
     }
 
     /// The time left until the call's deadline and until the attempt's timeout.
-    pub fn times_left(&self, now: Micros, attempt: u64) -> Option<(Micros, Micros)> {
+    pub fn remaining_times(&self, now: Micros, attempt: u64) -> Option<(Micros, Micros)> {
         let in_flight = self.attempts_in_flight.get(&attempt)?;
         let open_call = self.open_calls.get(&in_flight.id)?;
         Some((open_call.deadline.saturating_sub(now), in_flight.timeout_at.saturating_sub(now)))
     }
 
     /// Counts an attempt or order that was delayed or canceled right before sending.
-    pub fn kept_back(&mut self, decision: Departure) {
+    pub fn count_unsent(&mut self, decision: SendDecision) {
         let word = match decision {
-            Departure::Now => return,
-            Departure::Wait(WaitFor::List) => "waits-for-list",
-            Departure::Wait(WaitFor::Worker) => "waits-for-worker",
-            Departure::Wait(WaitFor::Agreement) => "list-disputed",
-            Departure::Never(barred) => barred.word(),
+            SendDecision::Allow => return,
+            SendDecision::Defer(MissingEvidence::ListResponse) => "waits-for-list",
+            SendDecision::Defer(MissingEvidence::WorkerReport) => "waits-for-worker",
+            SendDecision::Defer(MissingEvidence::AgreeingResponses) => "list-disputed",
+            SendDecision::Deny(barred) => barred.word(),
         };
-        increment(&mut self.counters.kept_back, word);
+        increment(&mut self.counters.unsent, word);
     }
 
     /// Records that the first byte of an attempt or order was sent. Returns the rule that this violates, if
     /// any; the check is independent of [`Self::may_leave`].
-    pub fn departed(&mut self, now: Micros, number: u64) -> Option<&'static str> {
+    pub fn record_sent(&mut self, now: Micros, number: u64) -> Option<&'static str> {
         let (worker, deadline) = match (self.attempts_in_flight.get(&number), self.orders.get(&number)) {
             (Some(in_flight), _) => {
                 (&in_flight.worker, self.open_calls.get(&in_flight.id).map(|open_call| open_call.deadline))
@@ -319,13 +323,14 @@
             KeyLookup::Conflict => return self.reject(client, "key-in-use", out),
         }
         let class = self.classes.get(&call.class).copied();
-        let Some((class, client_timeout)) = class.map(|c| (c, self.settings.module.classes[c].give_up))
+        let Some((class, client_timeout)) =
+            class.map(|c| (c, self.settings.dispatcher.classes[c].client_timeout))
         else {
             return self.reject(client, "unknown-class", out);
         };
         let default_time = if call.deferred { self.settings.deferred_time } else { client_timeout };
-        let requested = if call.time_left == 0 { default_time } else { call.time_left };
-        let time = requested.min(self.settings.most_time);
+        let requested = if call.timeout == 0 { default_time } else { call.timeout };
+        let time = requested.min(self.settings.max_time);
         let reason = if self.draining {
             Some("stopping")
         } else if call.function.is_empty() {
@@ -333,7 +338,7 @@
         } else if time <= self.settings.answer_margin {
             Some("no-time")
         } else {
-            self.admission.admit(call.routed(), call.body.len(), pending_on_connection).err()
+            self.admission.admit(call.routed_function(), call.body.len(), pending_on_connection).err()
         };
         if let Some(reason) = reason {
             return self.reject(client, reason, out);
@@ -341,7 +346,7 @@
         self.last_number += 1;
         // The number comes first, so that comparing two ids of this incarnation ends early.
         let id = RequestId::from(format!("{:x}-{:x}", self.last_number, self.incarnation).as_str());
-        let function = FunctionId::from(call.routed());
+        let function = FunctionId::from(call.routed_function());
         let known = |value: u32| (value > 0).then_some(value);
         let shape = call.shape.clone();
         let request = Request {
@@ -351,14 +356,14 @@
             function: function.clone(),
             time_left: time - self.settings.answer_margin,
             memory_mb: known(shape.memory_mb).map(f64::from),
-            lanes: known(shape.lanes),
+            concurrency: known(shape.lanes),
             load_time: (shape.load_time > 0).then_some(shape.load_time),
         };
         if self.shapes.get(&function) != Some(&shape) {
             self.shapes.insert(function, shape);
         }
         self.keys.insert(&call, &id.0);
-        self.counters.taken[class] += 1;
+        self.counters.accepted[class] += 1;
         let mut waiters = BTreeMap::new();
         if call.deferred {
             out.push(Output::Accepted(client, id.0.to_string()));
@@ -367,10 +372,10 @@
             self.add_wait(client, WaitTarget::Call(id.clone()), None);
         }
         let routed_origin =
-            |route: &Route| Origin { function: route.function.clone(), digest: String::new() };
+            |route: &VersionRoute| Origin { function: route.function.clone(), digest: String::new() };
         let open_call = OpenCall {
             origin: call.route.as_ref().map(|route| Arc::new(routed_origin(route))),
-            late_after: self.now.saturating_add(self.settings.module.classes[class].aim),
+            late_after: self.now.saturating_add(self.settings.dispatcher.classes[class].latency_objective),
             call: Arc::new(call),
             class,
             deadline: self.now + time,
@@ -386,7 +391,7 @@
 
     /// Rejects a call before it is accepted: nothing ran, so the client may retry.
     fn reject(&mut self, client: Client, reason: &'static str, out: &mut Vec<Output>) {
-        increment(&mut self.counters.turned_away, reason);
+        increment(&mut self.counters.rejected, reason);
         out.push(Output::Answer(client, Answer::without_body(Status::Refused, reason)));
     }
 
@@ -415,8 +420,8 @@
             debug_assert!(false, "an idempotency key without an open call or a kept result");
             return self.reject(client, "key-in-use", out);
         };
-        let client_timeout = self.settings.module.classes[open_call.class].give_up;
-        let requested = if call.time_left == 0 { client_timeout } else { call.time_left };
+        let client_timeout = self.settings.dispatcher.classes[open_call.class].client_timeout;
+        let requested = if call.timeout == 0 { client_timeout } else { call.timeout };
         let until = self.now + requested.saturating_sub(self.settings.answer_margin);
         open_call.waiters.insert(client, until);
         let until = (until < open_call.deadline).then_some(until);
@@ -443,7 +448,7 @@
         } else if wait == 0 || full {
             Answer::without_body(Status::Pending, "pending")
         } else {
-            let until = self.now + wait.min(self.settings.most_time);
+            let until = self.now + wait.min(self.settings.max_time);
             self.result_waiters.entry(id.clone()).or_default().insert(client);
             return self.add_wait(client, WaitTarget::Result(id), Some(until));
         };
@@ -474,10 +479,13 @@
             WaitTarget::Call(id) => {
                 let Some(open_call) = self.open_calls.get_mut(&id) else { return };
                 open_call.waiters.remove(&client);
-                if open_call.waiters.is_empty() && !open_call.call.deferred && !open_call.call.has_own_key() {
+                if open_call.waiters.is_empty()
+                    && !open_call.call.deferred
+                    && !open_call.call.deduplicates_here()
+                {
                     self.counters.abandoned += 1;
                     self.cancel_unsent(&id, out);
-                    self.events.push_back(Event::Gone(id.clone()));
+                    self.events.push_back(Event::ClientLeft(id.clone()));
                     self.remove_call(&id);
                 }
             }
@@ -497,7 +505,7 @@
     fn cancel_unsent(&mut self, id: &RequestId, out: &mut Vec<Output>) {
         for attempt in self.open_calls.get(id).map_or(&[][..], |open_call| &open_call.attempts) {
             if let Some(in_flight) = self.attempts_in_flight.get(attempt) {
-                out.push(Output::Withdraw(in_flight.worker.clone(), *attempt));
+                out.push(Output::CancelIfUnsent(in_flight.worker.clone(), *attempt));
             }
         }
     }
@@ -516,7 +524,7 @@
         if open_call.call.route.is_some() {
             let (call, status, late) =
                 (open_call.call.clone(), answer.status, self.now > open_call.late_after);
-            out.push(Output::Over { call, status, late, erred: open_call.had_error });
+            out.push(Output::CallCompleted { call, status, late, had_error: open_call.had_error });
         }
         for client in open_call.waiters.into_keys() {
             self.remove_wait(client);
@@ -531,7 +539,7 @@
         if refused {
             self.keys.forget(&id.0);
         }
-        if open_call.call.deferred || (open_call.call.has_own_key() && !refused) {
+        if open_call.call.deferred || (open_call.call.deduplicates_here() && !refused) {
             let evicted = self.results.insert(self.now, &id.0, answer);
             self.counters.results_evicted += evicted.len() as u64;
             evicted.iter().for_each(|id| self.keys.forget(id));
@@ -590,14 +598,14 @@
             AttemptEnd::Wrong(concurrency) => (Some(concurrency), false),
             _ => (None, false),
         };
-        self.events.push_back(Event::Ended {
+        self.events.push_back(Event::AttemptEnded {
             request: in_flight.id,
             attempt: in_flight.number,
             worker: in_flight.worker,
             outcome,
             elapsed: self.now.saturating_sub(in_flight.sent),
             answered: served || call_over,
-            crowd: concurrency,
+            worker_in_flight: concurrency,
             load_failed,
         });
     }
@@ -619,7 +627,7 @@
             }
             None => route.digest.is_empty(),
         };
-        out.push(Output::Ran(call.clone(), origin.cloned(), !right));
+        out.push(Output::VersionReported(call.clone(), origin.cloned(), !right));
         if right { end } else { AttemptEnd::Wrong(concurrency) }
     }
 
@@ -630,13 +638,13 @@
         };
         self.timers.remove(&(order.timeout_at, Timer::OrderTimeout(number)));
         let is_loaded = end == OrderEnd::Answered(Ending::Ok) && loaded_instances > 0;
-        out.push(Output::Loaded(order.function.clone(), is_loaded));
-        self.events.push_back(Event::Held {
+        out.push(Output::PrewarmEnded(order.function.clone(), is_loaded));
+        self.events.push_back(Event::PrewarmEnded {
             worker: order.worker,
             function: order.function,
             outcome: end.outcome(),
             elapsed: self.now.saturating_sub(order.sent),
-            standing: loaded_instances,
+            loaded_instances,
         });
     }
 
@@ -644,7 +652,7 @@
         let received = workers.len();
         workers.retain(|w| !w.id.is_empty());
         workers.truncate(MAX_WORKERS);
-        self.counters.list_passed_over += (received - workers.len()) as u64;
+        self.counters.list_entries_skipped += (received - workers.len()) as u64;
         let previous = if whole { std::mem::take(&mut self.worker_list) } else { BTreeMap::new() };
         for worker in workers.iter() {
             let started = previous.get(&worker.id).or(self.worker_list.get(&worker.id)).map(|w| w.started);
@@ -665,7 +673,8 @@
         }
         let worker_list = &self.worker_list;
         self.send_gate.forget(self.now, |worker| worker_list.contains_key(&*worker.0));
-        let update = if whole { ListNews::Whole(entries) } else { ListNews::Changes(entries) };
+        let update =
+            if whole { WorkerListUpdate::Complete(entries) } else { WorkerListUpdate::Changes(entries) };
         self.events.push_back(Event::List(update));
     }
 
@@ -675,9 +684,9 @@
         let id = WorkerId::from(worker.id.as_str());
         let state = match worker.standing {
             Standing::In if self.send_gate.is_treated_as_draining(&id) => WorkerState::Draining,
-            Standing::In => WorkerState::In,
+            Standing::In => WorkerState::InService,
             Standing::Draining => WorkerState::Draining,
-            Standing::Out => WorkerState::Out,
+            Standing::Out => WorkerState::OutOfService,
         };
         WorkerEntry {
             id,
@@ -723,7 +732,7 @@
     /// Sends the dispatcher the entry of a listed worker again, after a change of whether it takes new work.
     fn resend_entry(&mut self, worker: &WorkerId) {
         let entry = self.worker_list.get(&*worker.0).map(|listed| self.dispatcher_entry(listed));
-        let update = entry.map(|entry| Event::List(ListNews::Changes(vec![entry])));
+        let update = entry.map(|entry| Event::List(WorkerListUpdate::Changes(vec![entry])));
         self.events.extend(update);
     }
 
@@ -737,12 +746,12 @@
             let Some(open_call) = self.open_calls.get(&id) else { continue };
             let has_in_flight =
                 open_call.attempts.iter().any(|attempt| self.attempts_in_flight.contains_key(attempt));
-            let is_safe_to_retry = match self.settings.module.classes[open_call.class].effect {
+            let is_safe_to_retry = match self.settings.dispatcher.classes[open_call.class].effect {
                 Effect::Safe | Effect::Keyed { group: Group::All, .. } => true,
                 _ => open_call.first_possible_run.is_none() && !has_in_flight,
             };
             let status = if is_safe_to_retry { Status::Refused } else { Status::Failed };
-            self.events.push_back(Event::Gone(id.clone()));
+            self.events.push_back(Event::ClientLeft(id.clone()));
             self.complete(&id, Answer::without_body(status, "stopping"), out);
         }
     }
@@ -760,14 +769,14 @@
                 }
                 Timer::AttemptTimeout(attempt) => {
                     if let Some(in_flight) = self.attempts_in_flight.get(&attempt) {
-                        out.push(Output::Overdue(in_flight.worker.clone(), attempt));
+                        out.push(Output::AttemptTimedOut(in_flight.worker.clone(), attempt));
                     }
                     self.attempt_ended(attempt, AttemptEnd::Silent, Arc::from([]), None, out);
                 }
                 Timer::SendDeadline(attempt) => {
                     if let Some(in_flight) = self.attempts_in_flight.get_mut(&attempt) {
                         in_flight.send_by = None;
-                        out.push(Output::Withdraw(in_flight.worker.clone(), attempt));
+                        out.push(Output::CancelIfUnsent(in_flight.worker.clone(), attempt));
                     }
                 }
                 Timer::OrderTimeout(order) => self.order_ended(order, OrderEnd::Silent, 0, out),
@@ -814,7 +823,7 @@
                 if let Some(number) = number
                     && let Some(in_flight) = self.attempts_in_flight.get(&number)
                 {
-                    out.push(Output::CancelRun(in_flight.worker.clone(), number));
+                    out.push(Output::CancelAttempt(in_flight.worker.clone(), number));
                     self.attempt_ended(number, AttemptEnd::CalledOff, Arc::from([]), None, out);
                 }
             }
@@ -829,8 +838,8 @@
             }
             Action::Hold { worker, function, count, .. } => {
                 self.last_number += 1;
-                self.counters.orders += 1;
-                let timeout_at = self.now.saturating_add(self.settings.module.order_timeout);
+                self.counters.prewarm_orders += 1;
+                let timeout_at = self.now.saturating_add(self.settings.dispatcher.order_timeout);
                 self.timers.insert((timeout_at, Timer::OrderTimeout(self.last_number)));
                 let order = PrewarmOrder {
                     worker: worker.clone(),
@@ -841,18 +850,18 @@
                 self.orders.insert(self.last_number, order);
                 let unknown_shape = Shape { memory_mb: 0, lanes: 0, load_time: 0, work: 0 };
                 let shape = self.shapes.get(&function).cloned().unwrap_or(unknown_shape);
-                out.push(Output::Hold { worker, order: self.last_number, function, count, shape });
+                out.push(Output::Prewarm { worker, order: self.last_number, function, count, shape });
             }
-            Action::Drop { worker, function } => out.push(Output::Drop(worker, function)),
+            Action::Drop { worker, function } => out.push(Output::Unload(worker, function)),
             Action::Forget(function) => {
                 self.shapes.remove(&function);
                 self.admission.forget_function(&function.0);
             }
             Action::Probe { worker } => out.push(Output::Probe(worker)),
-            Action::Follow => out.push(Output::Follow),
+            Action::Follow => out.push(Output::RequestList),
             Action::WakeAfter(span) => {
                 // Wake-ups are rounded up to the tick, so that they share loop iterations.
-                let tick = self.settings.module.tick;
+                let tick = self.settings.dispatcher.tick;
                 let at = (self.now.saturating_add(span)).div_ceil(tick).saturating_mul(tick);
                 if self.dispatcher_wake_at.is_none_or(|wake_at| at < wake_at) {
                     self.dispatcher_wake_at
@@ -884,14 +893,14 @@
             // here.
             debug_assert!(false, "an attempt of {id}, whose call is over");
             let (outcome, elapsed, answered) = (AttemptEnd::NotSent.outcome(), 0, true);
-            return self.events.push_back(Event::Ended {
+            return self.events.push_back(Event::AttemptEnded {
                 request: id,
                 attempt: 0,
                 worker,
                 outcome,
                 elapsed,
                 answered,
-                crowd: None,
+                worker_in_flight: None,
                 load_failed: false,
             });
         };
@@ -902,19 +911,19 @@
             number: self.last_number,
             worker: worker.clone(),
             id: id.0.to_string(),
-            before: number as u32,
+            previous_attempts: number as u32,
             time_left: open_call.deadline.saturating_sub(self.now),
             timeout,
-            is_repeatable: self.settings.module.classes[open_call.class].effect != Effect::Unsafe,
+            is_repeatable: self.settings.dispatcher.classes[open_call.class].effect != Effect::Unsafe,
             call: open_call.call.clone(),
         };
         open_call.attempts.push(self.last_number);
         self.timers.insert((timeout_at, Timer::AttemptTimeout(self.last_number)));
         // A retry must reach the workers while they still remember the first attempt: it may wait for a
         // connection, but no longer than that.
-        let send_by = match self.settings.module.classes[open_call.class].effect {
-            Effect::Keyed { memory, .. } => open_call.first_possible_run.map(|at| {
-                at.saturating_add(memory).saturating_sub(self.settings.module.tick).max(self.now + 1)
+        let send_by = match self.settings.dispatcher.classes[open_call.class].effect {
+            Effect::Keyed { retention: memory, .. } => open_call.first_possible_run.map(|at| {
+                at.saturating_add(memory).saturating_sub(self.settings.dispatcher.tick).max(self.now + 1)
             }),
             Effect::Safe | Effect::Unsafe => None,
         };
--- a/crates/engine/src/interface.rs
+++ b/crates/engine/src/interface.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug)]
 pub struct EngineSettings {
     /// Settings of the dispatcher.
-    pub module: cresswheel::Settings,
+    pub dispatcher: cresswheel::Settings,
     /// Admission control.
     pub admission: AdmissionLimits,
     /// Retention of the results of deferred calls and of calls with an idempotency key.
@@ -21,7 +21,7 @@
     /// answer reaches the client in time.
     pub answer_margin: Micros,
     /// The longest deadline that a client may request.
-    pub most_time: Micros,
+    pub max_time: Micros,
     /// The deadline of a deferred call whose client requests none.
     pub deferred_time: Micros,
 }
@@ -50,11 +50,11 @@
     /// The idempotency key; empty: none.
     pub key: String,
     /// Only the workers deduplicate by the key; the engine just passes it on.
-    pub is_key_for_workers: bool,
+    pub workers_deduplicate: bool,
     /// The trace id that is passed along with the call; empty: the id of the call is used.
     pub trace: String,
     /// The client timeout; 0: the default of the class.
-    pub time_left: Micros,
+    pub timeout: Micros,
     /// Resource needs of the function, as far as known.
     pub shape: Shape,
     /// The arguments of the call.
@@ -63,30 +63,30 @@
     pub account: Option<String>,
     /// The version that the call is routed to, if the function has versions; `None`: the function under its
     /// own name.
-    pub route: Option<Route>,
+    pub route: Option<VersionRoute>,
 }
 
 /// The version that a call is routed to, the same for all its attempts.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Route {
+pub struct VersionRoute {
     /// The name under which this version is routed and loaded.
     pub function: String,
     /// The digest that the worker must report to have run; empty: any.
     pub digest: String,
     /// Whether this is the new one of two versions.
-    pub new: bool,
+    pub is_new_version: bool,
     /// A shadow call: runs in addition to a client's call, only to compare the answers.
-    pub twin: bool,
+    pub is_shadow: bool,
 }
 
 impl Call {
     /// Whether the engine deduplicates the call by its key.
-    pub fn has_own_key(&self) -> bool {
-        !self.key.is_empty() && !self.is_key_for_workers
+    pub fn deduplicates_here(&self) -> bool {
+        !self.key.is_empty() && !self.workers_deduplicate
     }
 
     /// The name under which the call is routed.
-    pub fn routed(&self) -> &str {
+    pub fn routed_function(&self) -> &str {
         self.route.as_ref().map_or(&self.function, |route| &route.function)
     }
 }
@@ -101,7 +101,7 @@
     /// A client no longer waits for this answer.
     Cancel(Client),
     /// A client connection was closed.
-    Left(u64),
+    Disconnected(u64),
     /// An attempt ended, with the answer of the worker if there is one, and what the worker reported to have
     /// run.
     AttemptEnded(u64, AttemptEnd, Vec<u8>, Option<Origin>),
@@ -109,22 +109,22 @@
     OrderEnded(u64, OrderEnd, u32),
     /// Calls of the first function are expected, as they follow from calls of the second one: it should stay
     /// loaded for this long.
-    Expected(FunctionId, FunctionId, Micros),
+    CallsExpected(FunctionId, FunctionId, Micros),
     /// A worker answered a probe.
-    Probed(WorkerId),
+    ProbeAnswered(WorkerId),
     /// A worker reported whether it serves or is leaving.
-    WorkerSaid {
+    WorkerReported {
         /// The worker.
         worker: WorkerId,
         /// Whether it accepts new work.
         serves: bool,
         /// When the probe was sent.
-        asked: Micros,
+        probed_at: Micros,
     },
     /// The age of the worker list changed.
     ListAge(ListAge),
     /// The complete set of workers about which responses of the list service contradict each other.
-    ListDisputed(BTreeSet<WorkerId>),
+    WorkersDisputed(BTreeSet<WorkerId>),
     /// The whole worker list, or changes of it.
     List {
         /// Whether this is the whole list: workers that are not listed are gone.
@@ -133,7 +133,7 @@
         workers: Vec<Listed>,
     },
     /// The list service can't be reached; the last known list stays in use.
-    ListLost,
+    ListUnavailable,
     /// Reject new calls from now on.
     Drain,
     /// Answer all open calls now.
@@ -174,7 +174,7 @@
     /// The id of the call.
     pub id: String,
     /// Number of earlier attempts of the call.
-    pub before: u32,
+    pub previous_attempts: u32,
     /// The time until the call's deadline.
     pub time_left: Micros,
     /// The timeout of the attempt itself.
@@ -193,8 +193,8 @@
         Message::Run {
             attempt: self.number,
             trace: or_id(&call.trace),
-            before: self.before,
-            function: call.routed().to_owned(),
+            before: self.previous_attempts,
+            function: call.routed_function().to_owned(),
             class: call.class.clone(),
             key: or_id(&call.key),
             time_left: self.time_left,
@@ -216,13 +216,13 @@
     /// Send an attempt to its worker.
     Run(Attempt),
     /// The attempt is no longer needed, or must no longer start: cancel it if no byte of it has been sent.
-    Withdraw(WorkerId, u64),
+    CancelIfUnsent(WorkerId, u64),
     /// The attempt timed out: cancel it as with `Withdraw`, or at the worker if bytes of it have been sent.
-    Overdue(WorkerId, u64),
+    AttemptTimedOut(WorkerId, u64),
     /// Send the worker the cancellation of an attempt.
-    CancelRun(WorkerId, u64),
+    CancelAttempt(WorkerId, u64),
     /// Send a prewarm order to a worker.
-    Hold {
+    Prewarm {
         /// The worker.
         worker: WorkerId,
         /// Identifies the order; never reused.
@@ -235,13 +235,13 @@
         shape: Shape,
     },
     /// Have the worker unload idle instances of the function.
-    Drop(WorkerId, FunctionId),
+    Unload(WorkerId, FunctionId),
     /// Probe a worker.
     Probe(WorkerId),
     /// Request the worker list.
-    Follow,
+    RequestList,
     /// A call that was routed to a version is over.
-    Over {
+    CallCompleted {
         /// The call.
         call: Arc<Call>,
         /// How the call ended.
@@ -249,12 +249,12 @@
         /// Whether it missed the latency objective of its class.
         late: bool,
         /// Whether one of its attempts ended in an error or ran the wrong version.
-        erred: bool,
+        had_error: bool,
     },
     /// What a worker reported to have run for a call with a version, and whether that was the wrong one.
-    Ran(Arc<Call>, Option<Origin>, bool),
+    VersionReported(Arc<Call>, Option<Origin>, bool),
     /// A prewarm order for this function ended; whether an instance is loaded.
-    Loaded(FunctionId, bool),
+    PrewarmEnded(FunctionId, bool),
     /// Write a line to the log.
     Log(String),
 }
--- a/crates/engine/src/keys.rs
+++ b/crates/engine/src/keys.rs
@@ -35,7 +35,7 @@
 
 impl IdempotencyKeys {
     pub fn lookup(&self, call: &Call) -> KeyLookup {
-        if !call.has_own_key() {
+        if !call.deduplicates_here() {
             return KeyLookup::Unused;
         }
         match self.calls_by_key.get(&key(call)) {
@@ -46,7 +46,7 @@
     }
 
     pub fn insert(&mut self, call: &Call, id: &str) {
-        if call.has_own_key() {
+        if call.deduplicates_here() {
             self.calls_by_key.insert(key(call), (id.into(), digest(call)));
             self.keys_by_call.insert(id.into(), key(call));
         }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -26,9 +26,11 @@
 
 pub use admission::AdmissionLimits;
 pub use counters::Counters;
-pub use departure::{Barred, Departure, ListAge, ListTerms, WaitFor};
+pub use departure::{DenyReason, ListAge, ListValidity, MissingEvidence, SendDecision};
 pub use ending::{AttemptEnd, OrderEnd};
 pub use engine::Engine;
 pub use interface::*;
-pub use list_evidence::{AGREEING, Contradictions, Exchange, ListEvidence, ListVersion, Weighed};
+pub use list_evidence::{
+    Contradictions, ListEvaluation, ListValidator, ListVersion, PollTimes, REQUIRED_CONFIRMATIONS,
+};
 pub use results::ResultLimits;
--- a/crates/engine/src/list_evidence.rs
+++ b/crates/engine/src/list_evidence.rs
@@ -24,10 +24,10 @@
 use cresswheel_protocol::{Listed, Standing};
 
 /// This many consecutive equal responses end a discrepancy: one more than stale responses arrive in a row.
-pub const AGREEING: usize = 3;
+pub const REQUIRED_CONFIRMATIONS: usize = 3;
 /// The list may change faster than it can be confirmed. After this many consecutive responses that may all be
 /// of one process, the latest list that [`AGREEING`] of them support is accepted.
-const MAX_PENDING_RESPONSES: usize = 2 * AGREEING;
+const MAX_PENDING_RESPONSES: usize = 2 * REQUIRED_CONFIRMATIONS;
 /// How many formerly accepted lists are remembered, to recognize stale responses.
 const MAX_SUPERSEDED: usize = 64;
 
@@ -72,21 +72,21 @@
 
 /// The result of evaluating a response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Weighed {
+pub struct ListEvaluation {
     /// The accepted list contains all events up to the time of this poll; `None` if this response confirmed
     /// nothing.
-    pub as_of: Option<Exchange>,
+    pub as_of: Option<PollTimes>,
     /// Another list was accepted.
     pub is_new: bool,
 }
 
 /// The times of a poll and its response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Exchange {
+pub struct PollTimes {
     /// When the poll was sent.
-    pub asked: Micros,
+    pub polled_at: Micros,
     /// When the response arrived.
-    pub heard: Micros,
+    pub received_at: Micros,
 }
 
 /// Counts of contradictions between responses since the start.
@@ -106,7 +106,7 @@
 /// A response that may be accepted later.
 #[derive(Debug)]
 struct ReceivedList {
-    exchange: Exchange,
+    exchange: PollTimes,
     list: ListVersion,
 }
 
@@ -121,7 +121,7 @@
 
 /// The accepted list, and the recent responses.
 #[derive(Debug)]
-pub struct ListEvidence {
+pub struct ListValidator {
     accepted: ListVersion,
     /// Responses have confirmed the accepted list.
     is_confirmed: bool,
@@ -139,7 +139,7 @@
     contradictions: Contradictions,
 }
 
-impl ListEvidence {
+impl ListValidator {
     /// Starts with an accepted list, such as that of the configuration. Responses contain an event at most
     /// `notified_within` after it happened.
     pub fn new(accepted: ListVersion, notified_within: Micros) -> Self {
@@ -157,12 +157,12 @@
     }
 
     /// The accepted list.
-    pub fn held(&self) -> &ListVersion {
+    pub fn accepted(&self) -> &ListVersion {
         &self.accepted
     }
 
     /// Whether responses differ and it is not settled yet which list is accepted.
-    pub fn is_in_doubt(&self) -> bool {
+    pub fn has_discrepancy(&self) -> bool {
         self.discrepancy.is_some()
     }
 
@@ -186,11 +186,11 @@
     }
 
     /// Evaluates a response.
-    pub fn weigh(&mut self, exchange: Exchange, response: ListVersion) -> Weighed {
-        let Exchange { asked, heard: now } = exchange;
+    pub fn evaluate(&mut self, exchange: PollTimes, response: ListVersion) -> ListEvaluation {
+        let PollTimes { polled_at: asked, received_at: now } = exchange;
         if self.last_polled_at.is_some_and(|last| asked <= last) {
             self.evaluate_late(exchange, &response);
-            return Weighed::default();
+            return ListEvaluation::default();
         }
         self.last_polled_at = Some(asked);
         let follows = response.can_follow(self.latest());
@@ -200,7 +200,7 @@
         if self.recent.is_empty() {
             self.consistent_since = asked;
         }
-        if self.is_in_doubt() || response != self.accepted {
+        if self.has_discrepancy() || response != self.accepted {
             // A formerly accepted list is most likely stale: one such response alone disputes no worker.
             let is_stale = self.recent.is_empty() && self.was_accepted(&response);
             self.begin_discrepancy(now, !follows);
@@ -214,7 +214,11 @@
 
     /// Evaluates a response to a poll before the latest answered one, or a second response to that. It
     /// confirms nothing, but may contradict.
-    fn evaluate_late(&mut self, Exchange { asked, heard: now }: Exchange, response: &ListVersion) {
+    fn evaluate_late(
+        &mut self,
+        PollTimes { polled_at: asked, received_at: now }: PollTimes,
+        response: &ListVersion,
+    ) {
         let latest = self.latest();
         let is_earlier = self.last_polled_at.is_some_and(|last| asked < last);
         if response == latest || is_earlier && latest.can_follow(response) {
@@ -248,26 +252,26 @@
     }
 
     /// Accepts the latest list that enough responses support.
-    fn accept_if_supported(&mut self, now: Micros) -> Weighed {
+    fn accept_if_supported(&mut self, now: Micros) -> ListEvaluation {
         let latest = self.recent.back().map(|received| &received.list);
         let agreeing = self.recent.iter().rev().take_while(|received| Some(&received.list) == latest).count();
-        if agreeing < AGREEING && self.recent.len() < MAX_PENDING_RESPONSES {
-            return Weighed::default();
+        if agreeing < REQUIRED_CONFIRMATIONS && self.recent.len() < MAX_PENDING_RESPONSES {
+            return ListEvaluation::default();
         }
-        let supported = self.recent.drain(..=self.recent.len() - AGREEING).next_back();
+        let supported = self.recent.drain(..=self.recent.len() - REQUIRED_CONFIRMATIONS).next_back();
         match supported {
             Some(supported) if self.may_accept(&supported) => self.accept(now, supported),
-            _ => Weighed::default(),
+            _ => ListEvaluation::default(),
         }
     }
 
     fn may_accept(&self, ReceivedList { exchange, list }: &ReceivedList) -> bool {
-        let is_long = exchange.asked.saturating_sub(self.consistent_since) > self.notified_within;
+        let is_long = exchange.polled_at.saturating_sub(self.consistent_since) > self.notified_within;
         !self.is_confirmed || is_long || list.can_follow(&self.accepted)
     }
 
     /// Accepts the list. If later responses differ from it, a new discrepancy begins.
-    fn accept(&mut self, now: Micros, ReceivedList { exchange, list }: ReceivedList) -> Weighed {
+    fn accept(&mut self, now: Micros, ReceivedList { exchange, list }: ReceivedList) -> ListEvaluation {
         let is_new = list != self.accepted;
         self.is_confirmed = true;
         self.end_discrepancy(now, is_new && !list.can_follow(&self.accepted));
@@ -284,7 +288,7 @@
             later.iter().for_each(|received| self.mark_disputed(&received.list));
         }
         self.recent = later;
-        Weighed { as_of: Some(exchange), is_new }
+        ListEvaluation { as_of: Some(exchange), is_new }
     }
 
     fn end_discrepancy(&mut self, now: Micros, overturns: bool) {
--- a/crates/engine/src/list_evidence/tests.rs
+++ b/crates/engine/src/list_evidence/tests.rs
@@ -9,7 +9,7 @@
 const NOTIFIED_WITHIN: Micros = 1_500_000;
 /// This many polls take longer than a list service may lag behind, and include [`AGREEING`] responses after
 /// that.
-const POLLS_TO_OVERTURN: usize = (NOTIFIED_WITHIN / PERIOD) as usize + 1 + AGREEING;
+const POLLS_TO_OVERTURN: usize = (NOTIFIED_WITHIN / PERIOD) as usize + 1 + REQUIRED_CONFIRMATIONS;
 
 fn worker(id: u32, standing: Standing, started: Micros) -> Listed {
     let (zone, kind) = ("east".to_owned(), "std".to_owned());
@@ -23,39 +23,39 @@
     ListVersion::new(number, serving.chain(draining).collect())
 }
 
-fn exchange(polled_at: Micros) -> Exchange {
-    Exchange { asked: polled_at, heard: polled_at + 1 }
+fn exchange(polled_at: Micros) -> PollTimes {
+    PollTimes { polled_at: polled_at, received_at: polled_at + 1 }
 }
 
 /// The accepted list is as old as the poll of that time, and was not replaced.
-fn as_of(polled_at: Micros) -> Weighed {
-    Weighed { as_of: Some(exchange(polled_at)), is_new: false }
+fn as_of(polled_at: Micros) -> ListEvaluation {
+    ListEvaluation { as_of: Some(exchange(polled_at)), is_new: false }
 }
 
 /// The list evidence, and a simulated list service that responds to each poll.
 struct PolledService {
-    evidence: ListEvidence,
+    evidence: ListValidator,
     now: Micros,
 }
 
 impl PolledService {
     fn starting_with(accepted: &ListVersion) -> Self {
-        Self { evidence: ListEvidence::new(accepted.clone(), NOTIFIED_WITHIN), now: 0 }
+        Self { evidence: ListValidator::new(accepted.clone(), NOTIFIED_WITHIN), now: 0 }
     }
 
-    fn respond(&mut self, list: &ListVersion) -> Weighed {
+    fn respond(&mut self, list: &ListVersion) -> ListEvaluation {
         self.now += PERIOD;
-        self.evidence.weigh(exchange(self.now), list.clone())
+        self.evidence.evaluate(exchange(self.now), list.clone())
     }
 
-    fn respond_times(&mut self, times: usize, list: &ListVersion) -> Weighed {
+    fn respond_times(&mut self, times: usize, list: &ListVersion) -> ListEvaluation {
         (0..times).map(|_| self.respond(list)).last().unwrap_or_default()
     }
 
     /// Workers that may get new work.
     fn usable(&self) -> Vec<String> {
         let disputed = self.evidence.disputed();
-        let serving = self.evidence.held().workers().iter().filter(|w| w.standing == Standing::In);
+        let serving = self.evidence.accepted().workers().iter().filter(|w| w.standing == Standing::In);
         let usable = serving.filter(|w| !disputed.contains(&WorkerId::from(w.id.as_str())));
         usable.map(|w| w.id.clone()).collect()
     }
@@ -65,7 +65,7 @@
 fn the_accepted_list_is_as_old_as_the_first_of_three_responses_in_any_order_of_workers() {
     let mut service = PolledService::starting_with(&list(1, &[1, 2], &[]));
     let same = ListVersion::new(1, vec![worker(2, Standing::In, 0), worker(1, Standing::In, 0)]);
-    assert_eq!(service.respond_times(2, &same), Weighed::default());
+    assert_eq!(service.respond_times(2, &same), ListEvaluation::default());
     assert_eq!(service.respond(&same), as_of(PERIOD));
     assert_eq!(service.respond(&same), as_of(2 * PERIOD));
     // After a period without responses the next one may be stale with the same list by chance, and so may the
@@ -74,17 +74,17 @@
     assert_eq!(service.respond(&same), as_of(3 * PERIOD));
     assert_eq!(service.respond(&same), as_of(4 * PERIOD));
     assert_eq!(service.respond(&same), as_of(25 * PERIOD));
-    assert!(!service.evidence.is_in_doubt());
+    assert!(!service.evidence.has_discrepancy());
 }
 
 #[test]
 fn a_change_stops_work_at_once_and_starts_it_after_three_agreeing_responses() {
     let mut service = PolledService::starting_with(&list(1, &[1, 2], &[]));
     let changed = list(2, &[2, 3], &[1]);
-    assert_eq!(service.respond(&changed), Weighed::default());
+    assert_eq!(service.respond(&changed), ListEvaluation::default());
     assert_eq!(service.usable(), ["w2"], "w1 drains in the response, w3 is missing on the accepted list");
-    assert_eq!(service.respond(&changed), Weighed::default());
-    assert_eq!(service.respond(&changed), Weighed { is_new: true, ..as_of(PERIOD) });
+    assert_eq!(service.respond(&changed), ListEvaluation::default());
+    assert_eq!(service.respond(&changed), ListEvaluation { is_new: true, ..as_of(PERIOD) });
     assert_eq!(service.usable(), ["w2", "w3"]);
     assert_eq!(service.evidence.contradictions(), Contradictions::default(), "a change is no contradiction");
 }
@@ -94,17 +94,21 @@
     let current = list(2, &[2], &[1]);
     let stale = |number| list(number, &[1, 2], &[]);
     for number in 1..=4 {
-        for times in 1..AGREEING {
+        for times in 1..REQUIRED_CONFIRMATIONS {
             // After current responses.
             let mut service = PolledService::starting_with(&list(1, &[1, 2], &[]));
-            service.respond_times(AGREEING, &current);
+            service.respond_times(REQUIRED_CONFIRMATIONS, &current);
             for _ in 0..times {
                 assert!(!service.respond(&stale(number)).is_new);
                 assert_eq!(service.usable(), ["w2"], "{number} {times}");
             }
             let first = service.now + PERIOD;
-            assert_eq!(service.respond_times(AGREEING, &current), as_of(first), "{number} {times}");
-            assert!(!service.evidence.is_in_doubt() && service.evidence.held() == &current);
+            assert_eq!(
+                service.respond_times(REQUIRED_CONFIRMATIONS, &current),
+                as_of(first),
+                "{number} {times}"
+            );
+            assert!(!service.evidence.has_discrepancy() && service.evidence.accepted() == &current);
             assert_eq!(service.evidence.contradictions().settled, 1);
             assert_eq!(service.evidence.contradictions().overturned, 0);
             // As the first responses of a process, before the drain is notified.
@@ -112,9 +116,9 @@
             service.respond_times(times, &stale(number));
             service.respond(&current);
             assert!(!service.usable().contains(&"w1".to_owned()), "{number} {times}");
-            service.respond_times(AGREEING - 1, &current);
+            service.respond_times(REQUIRED_CONFIRMATIONS - 1, &current);
             assert!(
-                !service.evidence.is_in_doubt() && service.evidence.held() == &current,
+                !service.evidence.has_discrepancy() && service.evidence.accepted() == &current,
                 "{number} {times}"
             );
         }
@@ -124,7 +128,7 @@
 #[test]
 fn the_same_number_with_another_list_is_a_contradiction() {
     let mut service = PolledService::starting_with(&list(2, &[1, 2], &[]));
-    assert_eq!(service.respond(&list(2, &[2], &[1])), Weighed::default());
+    assert_eq!(service.respond(&list(2, &[2], &[1])), ListEvaluation::default());
     assert_eq!(service.usable(), ["w2"]);
     assert!(service.evidence.contradicted_since().is_some());
 }
@@ -140,14 +144,14 @@
 #[test]
 fn a_wrongly_accepted_list_is_overturned_by_lower_numbers() {
     let mut service = PolledService::starting_with(&list(1, &[1, 2], &[]));
-    service.respond_times(AGREEING, &list(9, &[1, 2, 3], &[]));
+    service.respond_times(REQUIRED_CONFIRMATIONS, &list(9, &[1, 2, 3], &[]));
     let current = list(2, &[2], &[1]);
     for _ in 1..POLLS_TO_OVERTURN {
         assert!(!service.respond(&current).is_new, "the service may lag");
         assert_eq!(service.usable(), ["w2"], "from the first contradicting response on");
     }
     assert!(service.respond(&current).is_new);
-    assert_eq!((service.usable(), service.evidence.is_in_doubt()), (vec!["w2".to_owned()], false));
+    assert_eq!((service.usable(), service.evidence.has_discrepancy()), (vec!["w2".to_owned()], false));
     let counted = service.evidence.contradictions();
     assert_eq!((counted.settled, counted.overturned), (1, 1));
     let lasted = (POLLS_TO_OVERTURN as Micros - 1) * PERIOD;
@@ -158,22 +162,22 @@
 fn a_service_that_lags_up_to_its_limit_restores_no_host() {
     let (before, current) = (list(1, &[1, 2], &[]), list(2, &[2], &[1]));
     let mut service = PolledService::starting_with(&before);
-    service.respond_times(AGREEING, &current);
+    service.respond_times(REQUIRED_CONFIRMATIONS, &current);
     for _ in 0..NOTIFIED_WITHIN / PERIOD {
         assert!(!service.respond(&before).is_new);
         assert_eq!(service.usable(), ["w2"]);
     }
-    service.respond_times(AGREEING, &current);
-    assert_eq!((service.evidence.held(), service.evidence.is_in_doubt()), (&current, false));
+    service.respond_times(REQUIRED_CONFIRMATIONS, &current);
+    assert_eq!((service.evidence.accepted(), service.evidence.has_discrepancy()), (&current, false));
     assert_eq!(service.evidence.contradictions().overturned, 0);
 }
 
 #[test]
 fn numbers_that_restart_and_change_with_every_response_are_accepted() {
     let mut service = PolledService::starting_with(&list(1, &[1], &[]));
-    service.respond_times(AGREEING, &list(500, &[1], &[]));
+    service.respond_times(REQUIRED_CONFIRMATIONS, &list(500, &[1], &[]));
     let accepted = (2..30).filter(|number| service.respond(&list(*number, &[1, *number as u32], &[])).is_new);
-    assert!(accepted.count() >= 4 && service.evidence.held().number < 30, "{:?}", service.evidence);
+    assert!(accepted.count() >= 4 && service.evidence.accepted().number < 30, "{:?}", service.evidence);
 }
 
 #[test]
@@ -181,7 +185,7 @@
     // The configuration may describe a host differently from the service.
     let mut service = PolledService::starting_with(&list(1, &[1, 2], &[]));
     let current = ListVersion::new(1, vec![worker(1, Standing::In, 5), worker(2, Standing::In, 5)]);
-    assert!(service.respond_times(AGREEING, &current).is_new);
+    assert!(service.respond_times(REQUIRED_CONFIRMATIONS, &current).is_new);
     assert_eq!(service.usable(), ["w1", "w2"]);
 }
 
@@ -189,7 +193,7 @@
 fn one_formerly_accepted_list_disputes_no_worker_but_a_second_one_does() {
     let (first, second) = (list(1, &[1], &[]), list(2, &[1, 2], &[]));
     let mut service = PolledService::starting_with(&first);
-    service.respond_times(AGREEING, &second);
+    service.respond_times(REQUIRED_CONFIRMATIONS, &second);
     assert_eq!(service.respond(&first).as_of, None, "it confirms nothing");
     assert_eq!(service.usable(), ["w1", "w2"]);
     assert_eq!(service.respond(&first).as_of, None);
@@ -205,13 +209,16 @@
     let changed = list(2, &[2], &[1]);
     let mut service = PolledService::starting_with(&list(1, &[1, 2], &[]));
     for _ in 0..4 {
-        assert_eq!(service.evidence.weigh(exchange(1), changed.clone()), Weighed::default());
+        assert_eq!(service.evidence.evaluate(exchange(1), changed.clone()), ListEvaluation::default());
     }
-    assert!(service.evidence.is_in_doubt());
+    assert!(service.evidence.has_discrepancy());
     // A second response that differs is a contradiction.
     let mut service = PolledService::starting_with(&list(1, &[1, 2], &[]));
     service.respond(&list(1, &[1, 2], &[]));
-    assert_eq!(service.evidence.weigh(exchange(service.now), list(3, &[1], &[2])), Weighed::default());
+    assert_eq!(
+        service.evidence.evaluate(exchange(service.now), list(3, &[1], &[2])),
+        ListEvaluation::default()
+    );
     assert_eq!(service.usable(), ["w1"]);
 }
 
@@ -220,12 +227,12 @@
     let accepted = list(3, &[1, 2], &[]);
     let mut service = PolledService::starting_with(&accepted);
     service.respond(&accepted);
-    service.evidence.weigh(exchange(service.now - 1), list(2, &[1], &[]));
-    assert!(!service.evidence.is_in_doubt(), "an event between the two polls explains it");
-    service.evidence.weigh(exchange(service.now - 1), list(4, &[1], &[]));
+    service.evidence.evaluate(exchange(service.now - 1), list(2, &[1], &[]));
+    assert!(!service.evidence.has_discrepancy(), "an event between the two polls explains it");
+    service.evidence.evaluate(exchange(service.now - 1), list(4, &[1], &[]));
     assert_eq!(service.usable(), ["w1"]);
     let first = service.now + PERIOD;
-    assert_eq!(service.respond_times(AGREEING, &accepted), as_of(first));
+    assert_eq!(service.respond_times(REQUIRED_CONFIRMATIONS, &accepted), as_of(first));
 }
 
 #[test]
@@ -235,7 +242,7 @@
     for number in 2..20 {
         let serving: Vec<u32> = (1..=number).collect();
         if service.respond(&list(u64::from(number), &serving, &[])).is_new {
-            accepted.push(service.evidence.held().number);
+            accepted.push(service.evidence.accepted().number);
         }
         assert!(service.usable().contains(&"w1".to_owned()), "all of them list it in service");
     }
@@ -247,7 +254,7 @@
 fn state_is_bounded() {
     let mut service = PolledService::starting_with(&list(0, &[1], &[]));
     for number in 1..1_000 {
-        service.respond_times(AGREEING, &list(number, &[1, number as u32 + 1], &[]));
+        service.respond_times(REQUIRED_CONFIRMATIONS, &list(number, &[1, number as u32 + 1], &[]));
         service.respond(&list(1_000 - number, &[1], &[2]));
         assert!(
             service.evidence.superseded.len() <= MAX_SUPERSEDED
@@ -318,10 +325,10 @@
                 continue;
             }
             let stale_response =
-                step.stale.filter(|_| stale_in_a_row < AGREEING - 1).map(|n| stale[n % stale.len()].clone());
+                step.stale.filter(|_| stale_in_a_row < REQUIRED_CONFIRMATIONS - 1).map(|n| stale[n % stale.len()].clone());
             stale_in_a_row = if stale_response.is_some() { stale_in_a_row + 1 } else { 0 };
             let weighed = service.respond(&stale_response.unwrap_or(current.clone()));
-            as_of = weighed.as_of.map_or(as_of, |as_of| (as_of.asked / PERIOD) as usize);
+            as_of = weighed.as_of.map_or(as_of, |as_of| (as_of.polled_at / PERIOD) as usize);
             for id in service.usable() {
                 let served =
                     |list: &ListVersion| list.workers().iter().any(|w| w.id == id && w.standing == Standing::In);
@@ -332,9 +339,9 @@
                 );
             }
         }
-        service.respond_times(POLLS_TO_OVERTURN + AGREEING, &current);
+        service.respond_times(POLLS_TO_OVERTURN + REQUIRED_CONFIRMATIONS, &current);
         prop_assert!(
-            !service.evidence.is_in_doubt() && service.evidence.held() == &current,
+            !service.evidence.has_discrepancy() && service.evidence.accepted() == &current,
             "{:?}",
             service.evidence
         );
--- a/crates/engine/tests/calls.rs
+++ b/crates/engine/tests/calls.rs
@@ -1,6 +1,6 @@
 //! Single calls: which client gets which answer and when, and what the dispatcher is notified of.
 
-use cresswheel::{Class, Effect, Group, Settings, WhenAbsent};
+use cresswheel::{Class, Effect, Group, MissPolicy, Settings};
 use cresswheel_engine::*;
 use cresswheel_protocol::{Ending, Listed, Shape, Standing, Status};
 
@@ -10,20 +10,20 @@
 fn settings() -> EngineSettings {
     let class = |name: &str, effect| Class {
         name: name.into(),
-        aim: 600 * MS,
-        give_up: 5 * S,
+        latency_objective: 600 * MS,
+        client_timeout: 5 * S,
         effect,
         streamed: false,
         worth: 1.0,
         late_worth: 0.3,
     };
-    let keyed = Effect::Keyed { group: Group::Zone, memory: 2 * S };
+    let keyed = Effect::Keyed { group: Group::Zone, retention: 2 * S };
     EngineSettings {
-        module: Settings {
+        dispatcher: Settings {
             classes: vec![class("check", Effect::Safe), class("post", Effect::Unsafe), class("keyed", keyed)],
             keep_alive: 10 * S,
-            when_absent: WhenAbsent::Load,
-            may_order: true,
+            miss_policy: MissPolicy::Load,
+            may_prewarm: true,
             may_cancel: true,
             max_attempts: 4,
             order_timeout: 10 * S,
@@ -32,7 +32,7 @@
         admission: AdmissionLimits { open_calls: 50, open_bytes: 1_000, per_connection: 20, functions: 100 },
         results: ResultLimits { keep: 60 * S, bytes: 3_000 },
         answer_margin: 10 * MS,
-        most_time: 100 * S,
+        max_time: 100 * S,
         deferred_time: 20 * S,
     }
 }
@@ -45,12 +45,12 @@
         tenant: String::new(),
         key: String::new(),
         trace: String::new(),
-        time_left: 0,
+        timeout: 0,
         shape: Shape { memory_mb: 100, lanes: 4, load_time: 0, work: 0 },
         body: b"in".to_vec(),
         account: None,
         route: None,
-        is_key_for_workers: false,
+        workers_deduplicate: false,
     }
 }
 
@@ -117,8 +117,9 @@
     let repeat = sent_attempts(&out)[0].number;
     // It may wait for a connection until the end of the two seconds for which workers remember the first
     // attempt.
-    let is_canceled =
-        |out: &[Output]| out.iter().any(|o| matches!(o, Output::Withdraw(_, attempt) if *attempt == repeat));
+    let is_canceled = |out: &[Output]| {
+        out.iter().any(|o| matches!(o, Output::CancelIfUnsent(_, attempt) if *attempt == repeat))
+    };
     assert!(!is_canceled(&harness.advance(1_890 * MS)), "the workers remember it still");
     assert!(is_canceled(&harness.advance(10 * MS)), "it must not start any more");
     // No byte of it was sent, so it never ran; the window is over, and no other attempt is started.
@@ -203,7 +204,7 @@
         let out = harness.handle(Input::AttemptEnded(first.number, end, Vec::new(), None));
         let second = sent_attempts(&out)[0];
         assert_ne!(second.worker, first.worker, "{end:?}");
-        assert_eq!((second.before, &second.id), (1, &first.id));
+        assert_eq!((second.previous_attempts, &second.id), (1, &first.id));
     }
 }
 
@@ -211,7 +212,7 @@
 fn an_unanswered_call_ends_before_its_clients_deadline() {
     for class in ["check", "post", "keyed"] {
         let mut harness = Harness::new(2);
-        let (client, _) = harness.call(Call { time_left: 700 * MS, ..call(class) });
+        let (client, _) = harness.call(Call { timeout: 700 * MS, ..call(class) });
         let out = harness.advance(700 * MS - 1);
         let last = answers(&out);
         assert_eq!(last.len(), 1, "{class}");
@@ -227,7 +228,7 @@
 fn an_answer_and_a_timeout_in_the_same_tick_give_one_answer() {
     for answer_first in [true, false] {
         let mut harness = Harness::new(2);
-        let (client, out) = harness.call(Call { time_left: 600 * MS, ..call("post") });
+        let (client, out) = harness.call(Call { timeout: 600 * MS, ..call("post") });
         let attempt = sent_attempts(&out)[0].number;
         harness.now += 590 * MS;
         let mut out = Vec::new();
@@ -284,8 +285,8 @@
     let mut harness = Harness::new(2);
     let (_, out) = harness.call(call("post"));
     let attempt = sent_attempts(&out)[0].number;
-    let out = harness.handle(Input::Left(1));
-    assert!(out.iter().any(|o| matches!(o, Output::Withdraw(_, a) if *a == attempt)));
+    let out = harness.handle(Input::Disconnected(1));
+    assert!(out.iter().any(|o| matches!(o, Output::CancelIfUnsent(_, a) if *a == attempt)));
     let out = harness.handle(Input::AttemptEnded(attempt, AttemptEnd::NotWritten, Vec::new(), None));
     assert!(sent_attempts(&out).is_empty() && answers(&out).is_empty());
     assert!(answers(&harness.advance(20 * S)).is_empty());
@@ -298,7 +299,7 @@
     let (_, out) = harness.call(Call { deferred: true, ..call("post") });
     let id = accepted(&out);
     let attempt = sent_attempts(&out)[0].number;
-    harness.handle(Input::Left(1));
+    harness.handle(Input::Disconnected(1));
     let client = |n| Client { connection: 2, number: n };
     assert_eq!(answers(&harness.handle(Input::Await(client(1), id.clone(), 0)))[0].1, Status::Pending);
     assert!(answers(&harness.handle(Input::Await(client(2), id.clone(), S))).is_empty());
@@ -359,7 +360,7 @@
     let attempt = sent_attempts(&out)[0].number;
     let (second, out) = harness.call(keyed.clone());
     assert!(sent_attempts(&out).is_empty());
-    let (impatient, out) = harness.call(Call { time_left: 100 * MS, ..keyed.clone() });
+    let (impatient, out) = harness.call(Call { timeout: 100 * MS, ..keyed.clone() });
     assert!(sent_attempts(&out).is_empty());
     assert_eq!(answers(&harness.advance(100 * MS)), [(impatient.number, Status::Failed, "still-running")]);
     let (other, out) = harness.call(Call { body: b"else".to_vec(), ..keyed.clone() });
@@ -375,7 +376,7 @@
 #[test]
 fn the_key_of_a_refused_call_is_free_again_and_that_of_a_failed_one_is_not() {
     let mut harness = Harness::new(0);
-    let keyed = Call { key: "k".into(), time_left: 100 * MS, ..call("post") };
+    let keyed = Call { key: "k".into(), timeout: 100 * MS, ..call("post") };
     harness.call(keyed.clone());
     assert_eq!(answers(&harness.advance(100 * MS))[0].1, Status::Refused);
     let mut harness = Harness::new(1);
@@ -396,7 +397,7 @@
         rejection(Call { function: String::new(), ..call("check") }),
         Some((Status::Refused, "no-function"))
     );
-    assert_eq!(rejection(Call { time_left: 5 * MS, ..call("check") }), Some((Status::Refused, "no-time")));
+    assert_eq!(rejection(Call { timeout: 5 * MS, ..call("check") }), Some((Status::Refused, "no-time")));
     assert_eq!(
         rejection(Call { body: vec![0; 1_001], ..call("check") }),
         Some((Status::Refused, "gateway-bytes"))
@@ -438,7 +439,7 @@
         let (_, out) = harness.call(call("check"));
         let attempt = sent_attempts(&out)[0].clone();
         workers.push(attempt.worker.clone());
-        harness.handle(Input::Left(1));
+        harness.handle(Input::Disconnected(1));
         harness.handle(Input::AttemptEnded(attempt.number, AttemptEnd::TakenBack, Vec::new(), None));
     }
     assert!(workers.iter().all(|worker| *worker == workers[0]), "{workers:?}");
@@ -447,11 +448,11 @@
 #[test]
 fn an_attempt_carries_its_timeout_and_is_overdue_after_it() {
     let mut harness = Harness::new(2);
-    let (_, out) = harness.call(Call { time_left: 700 * MS, ..call("post") });
+    let (_, out) = harness.call(Call { timeout: 700 * MS, ..call("post") });
     let attempt = sent_attempts(&out)[0].clone();
     assert_eq!(attempt.timeout, 690 * MS, "the remaining time minus the margin");
     let out = harness.advance(700 * MS - 1);
-    assert!(out.iter().any(|o| matches!(o, Output::Overdue(_, number) if *number == attempt.number)));
+    assert!(out.iter().any(|o| matches!(o, Output::AttemptTimedOut(_, number) if *number == attempt.number)));
     assert_eq!(answers(&out).len(), 1);
 }
 
@@ -459,11 +460,11 @@
 fn an_order_that_was_cut_off_is_sent_again_to_the_same_worker() {
     for (end, same) in [(OrderEnd::CutOff, true), (OrderEnd::NotConnected, false)] {
         let mut settings = settings();
-        settings.module.when_absent = WhenAbsent::Miss;
+        settings.dispatcher.miss_policy = MissPolicy::Miss;
         let mut harness = Harness::with_settings(settings, 5);
         let prewarm_orders = |out: &[Output]| -> Vec<(u64, String)> {
             let prewarm_order = |o: &Output| match o {
-                Output::Hold { order, worker, .. } => Some((*order, worker.to_string())),
+                Output::Prewarm { order, worker, .. } => Some((*order, worker.to_string())),
                 _ => None,
             };
             out.iter().filter_map(prewarm_order).collect()
--- a/crates/engine/tests/sequences.rs
+++ b/crates/engine/tests/sequences.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use cresswheel::{Class, ColdStart, Effect, Group, Settings, WhenAbsent};
+use cresswheel::{Class, ColdStart, Effect, Group, MissPolicy, Settings};
 use cresswheel_engine::*;
 use cresswheel_protocol::{Ending, Listed, Shape, Standing, Status};
 use proptest::prelude::*;
@@ -90,7 +90,7 @@
                 Output::Run(attempt) => {
                     let class = CLASSES.iter().position(|c| *c == attempt.call.class).unwrap();
                     let (_, attempts) = self.calls.entry(attempt.id.clone()).or_insert((class, Vec::new()));
-                    assert_eq!(attempt.before as usize, attempts.len());
+                    assert_eq!(attempt.previous_attempts as usize, attempts.len());
                     assert!(attempts.iter().all(|(_, end)| end.is_some()), "two attempts in flight");
                     if class == 1 {
                         let never_ran = |(_, end): &(u64, Option<AttemptEnd>)| {
@@ -102,7 +102,7 @@
                     self.in_flight.insert(attempt.number, attempt.id);
                 }
                 // It timed out or its call is over: to the dispatcher it has ended.
-                Output::Withdraw(_, attempt) | Output::Overdue(_, attempt) => {
+                Output::CancelIfUnsent(_, attempt) | Output::AttemptTimedOut(_, attempt) => {
                     if let Some(id) = self.in_flight.get(&attempt) {
                         let attempts = &mut self.calls.get_mut(id).unwrap().1;
                         let set_silent =
@@ -110,7 +110,7 @@
                         attempts.iter_mut().filter(|a| a.0 == attempt).for_each(set_silent);
                     }
                 }
-                Output::Hold { order, .. } => {
+                Output::Prewarm { order, .. } => {
                     self.orders.insert(order);
                 }
                 _ => {}
@@ -127,31 +127,36 @@
 }
 
 fn settings() -> EngineSettings {
-    let effects = [Effect::Safe, Effect::Unsafe, Effect::Keyed { group: Group::All, memory: S }];
+    let effects = [Effect::Safe, Effect::Unsafe, Effect::Keyed { group: Group::All, retention: S }];
     let class = |(name, effect): (&&str, Effect)| Class {
         name: (*name).into(),
-        aim: 600 * MS,
-        give_up: 2 * S,
+        latency_objective: 600 * MS,
+        client_timeout: 2 * S,
         effect,
         streamed: false,
         worth: 1.0,
         late_worth: 0.3,
     };
     EngineSettings {
-        module: Settings {
+        dispatcher: Settings {
             classes: CLASSES.iter().zip(effects).map(class).collect(),
             keep_alive: 2 * S,
-            when_absent: WhenAbsent::Miss,
-            may_order: true,
+            miss_policy: MissPolicy::Miss,
+            may_prewarm: true,
             max_attempts: 4,
             order_timeout: S,
-            cold: ColdStart { from: 0.2, warm_up: 5 * S, multiple: 2.0, window: S },
+            cold_start: ColdStart {
+                initial_share: 0.2,
+                warm_up: 5 * S,
+                overload_multiple: 2.0,
+                overload_window: S,
+            },
             ..Settings::default()
         },
         admission: AdmissionLimits { open_calls: 30, open_bytes: 200, per_connection: 12, functions: 4 },
         results: ResultLimits { keep: 3 * S, bytes: 4_000 },
         answer_margin: 5 * MS,
-        most_time: 4 * S,
+        max_time: 4 * S,
         deferred_time: 3 * S,
     }
 }
@@ -202,12 +207,12 @@
                         tenant: String::new(),
                         key: if key < 3 { format!("k{key}") } else { String::new() },
                         trace: String::new(),
-                        time_left: time,
+                        timeout: time,
                         shape: Shape { memory_mb: 1, lanes: 2, load_time: 0, work: 0 },
                         body: vec![key % 4; 10],
                         account: None,
                         route: None,
-                        is_key_for_workers: false,
+                        workers_deduplicate: false,
                     };
                     state = handle(&mut checker, now, Input::Call(client, call));
                 }
@@ -241,7 +246,7 @@
                 }
                 Step::Disconnect(connection) => {
                     checker.deadlines.retain(|client, _| client.connection != connection);
-                    state = handle(&mut checker, now, Input::Left(connection));
+                    state = handle(&mut checker, now, Input::Disconnected(connection));
                 }
                 Step::Cancel { connection, back } => {
                     let number = numbers[connection as usize].saturating_sub(back);
@@ -270,7 +275,7 @@
                     let workers = workers.into_iter().map(entry).collect();
                     state = handle(&mut checker, now, Input::List { whole, workers });
                 }
-                Step::ListLost => state = handle(&mut checker, now, Input::ListLost),
+                Step::ListLost => state = handle(&mut checker, now, Input::ListUnavailable),
             }
         }
         prop_assert!(checker.deadlines.is_empty(), "{:?} got no answer", checker.deadlines);
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -152,7 +152,7 @@
         }
         let clients = Clients::new(&mut event_loop, terms, http_listener);
         let acceptors = Acceptors::new(acceptor, sockets, terms, parts.holders);
-        let module = &settings.engine.module;
+        let module = &settings.engine.dispatcher;
         let classes = module.classes.iter().enumerate().map(|(at, c)| (c.name.clone(), at)).collect();
         let tenants = module.tenants.iter().enumerate().map(|(at, t)| (t.name.clone(), at)).collect();
         let intake = Intake::new(&settings.class_terms(), settings.shell.intake);
@@ -179,7 +179,7 @@
             budget,
             intake,
             started: 0,
-            rejected: vec![0; settings.engine.module.classes.len()],
+            rejected: vec![0; settings.engine.dispatcher.classes.len()],
             classes,
             tenants,
             list_connection: None,
@@ -355,7 +355,7 @@
                     let fixed = fixed.join(", ");
                     return tracing::error!(%fixed, "the settings stay as they are: this needs a restart");
                 }
-                self.engine.change_bounds(&new.engine);
+                self.engine.update_limits(&new.engine);
                 let mut parts = divide_connections(&self.budget, &new);
                 if parts.holders != self.acceptors.count() {
                     // The number of processes is fixed until a restart; it limits the connections.
@@ -433,12 +433,12 @@
                     tenant,
                     key: idempotency,
                     trace,
-                    time_left,
+                    timeout: time_left,
                     shape,
                     body,
                     account,
                     route: None,
-                    is_key_for_workers: false,
+                    workers_deduplicate: false,
                 };
                 self.handle_call(Client { connection: key, number }, ask.came, call);
             }
@@ -468,7 +468,7 @@
     fn client_left(&mut self, key: ConnectionKey) {
         tracing::debug!(connection = key, "client left");
         self.intake.left(key);
-        self.handle_input(Input::Left(key));
+        self.handle_input(Input::Disconnected(key));
     }
 
     fn handle_call(&mut self, client: Client, arrived_at: Micros, call: Call) {
@@ -498,19 +498,19 @@
     fn start_call(&mut self, client: Client, arrived_at: Micros, mut call: Call) {
         self.started += 1;
         let engine = &self.settings.engine;
-        let class = self.classes.get(&call.class).map(|class| &engine.module.classes[*class]);
+        let class = self.classes.get(&call.class).map(|class| &engine.dispatcher.classes[*class]);
         let default_timeout =
-            if call.deferred { engine.deferred_time } else { class.map_or(0, |class| class.give_up) };
-        let requested = if call.time_left == 0 { default_timeout } else { call.time_left };
+            if call.deferred { engine.deferred_time } else { class.map_or(0, |class| class.client_timeout) };
+        let requested = if call.timeout == 0 { default_timeout } else { call.timeout };
         let now = self.event_loop.clock().now();
         let waited = now.saturating_sub(arrived_at);
-        call.time_left = requested.min(engine.most_time).saturating_sub(waited).max(1);
+        call.timeout = requested.min(engine.max_time).saturating_sub(waited).max(1);
         call.route = self.versions.choose_version(now, &call, client);
         let safe = class.is_some_and(|class| class.effect == Effect::Safe);
         // A shadow call must not delay clients' calls, so there is none while any are queued. It must not
         // earn prewarm orders either: the order budget is for clients' calls, and the decision module can't
         // tell them apart.
-        let allowed = self.settings.engine.module.ration.is_none() && self.intake.is_empty();
+        let allowed = self.settings.engine.dispatcher.order_rate_limit.is_none() && self.intake.is_empty();
         let shadow = (safe && allowed).then(|| self.versions.shadow_call(now, &call, client)).flatten();
         self.handle_input(Input::Call(client, call));
         if let Some((client, call)) = shadow {
@@ -584,7 +584,7 @@
             self.list_stale = true;
             self.list_index += 1;
             self.list_retry_at = Some(self.event_loop.clock().now() + self.settings.shell.list_retry);
-            return self.handle_input(Input::ListLost);
+            return self.handle_input(Input::ListUnavailable);
         }
         let ended = self.workers.on_closed(connection, never_stood, unsent, why);
         ended.into_iter().for_each(|input| self.handle_input(input));
@@ -630,23 +630,23 @@
             }
             Output::Close(connection, reason) => self.close_client(connection, reason),
             Output::Run(attempt) => self.send_attempt(attempt),
-            Output::Withdraw(_, attempt) | Output::Overdue(_, attempt) => {
+            Output::CancelIfUnsent(_, attempt) | Output::AttemptTimedOut(_, attempt) => {
                 if self.workers.cancel_unsent(&mut self.event_loop, attempt) {
                     let end = AttemptEnd::TakenBack;
                     self.inputs.push_back(Input::AttemptEnded(attempt, end, Vec::new(), None));
                 }
             }
-            Output::CancelRun(_, attempt) => {
+            Output::CancelAttempt(_, attempt) => {
                 self.workers.cancel_attempt(&mut self.event_loop, attempt);
             }
-            Output::Hold { worker, order, function, count, shape } => {
+            Output::Prewarm { worker, order, function, count, shape } => {
                 tracing::debug!(%worker, %function, count, "hold");
                 let message = Message::Hold { order, function: function.to_string(), count, shape };
                 if !self.workers.dispatch(&mut self.event_loop, &worker, Cargo::Order(order), &message) {
                     self.inputs.push_back(Input::OrderEnded(order, OrderEnd::NotConnected, 0));
                 }
             }
-            Output::Drop(worker, function) => {
+            Output::Unload(worker, function) => {
                 let message = Message::Drop { function: function.to_string() };
                 self.workers.send_if_connected(&mut self.event_loop, &worker, &message);
             }
@@ -655,12 +655,14 @@
                 self.workers.send_if_connected(&mut self.event_loop, &worker, &message);
             }
             // The gateway follows the list from the start, and again after each loss of the connection.
-            Output::Follow => {}
-            Output::Over { call, status, late, erred } => {
+            Output::RequestList => {}
+            Output::CallCompleted { call, status, late, had_error: erred } => {
                 self.versions.record_end(&call, status, late, erred)
             }
-            Output::Ran(call, origin, wrong) => self.versions.record_run(&call, origin.as_ref(), wrong),
-            Output::Loaded(function, is_loaded) => self.versions.record_load(&function.0, is_loaded),
+            Output::VersionReported(call, origin, wrong) => {
+                self.versions.record_run(&call, origin.as_ref(), wrong)
+            }
+            Output::PrewarmEnded(function, is_loaded) => self.versions.record_load(&function.0, is_loaded),
             Output::Log(text) => tracing::info!("{text}"),
         }
     }
@@ -682,7 +684,7 @@
     fn send_attempt(&mut self, attempt: Attempt) {
         let span = tracing::debug_span!("call", id = %attempt.id, trace = %attempt.call.trace);
         let _in = span.enter();
-        tracing::debug!(worker = %attempt.worker, attempt = attempt.number, before = attempt.before, "run");
+        tracing::debug!(worker = %attempt.worker, attempt = attempt.number, before = attempt.previous_attempts, "run");
         let message = attempt.message();
         let cargo = Cargo::Attempt(attempt.number);
         if !self.workers.dispatch(&mut self.event_loop, &attempt.worker, cargo, &message) {
@@ -695,7 +697,7 @@
     fn update_expected(&mut self) {
         for expected in self.versions.check(self.event_loop.clock().now()) {
             let (function, like) = (expected.function.as_str().into(), expected.like.as_str().into());
-            self.handle_input(Input::Expected(function, like, EXPECTATION_TTL));
+            self.handle_input(Input::CallsExpected(function, like, EXPECTATION_TTL));
         }
     }
 
@@ -707,8 +709,11 @@
             self.list_retry_at = None;
             let at = self.settings.list.get(self.list_index % self.settings.list.len().max(1)).copied();
             if let (Some(at), Phase::Running) = (at, self.phase) {
-                let list =
-                    self.event_loop.connect(at, Wire::Frames, self.settings.engine.module.connect_timeout);
+                let list = self.event_loop.connect(
+                    at,
+                    Wire::Frames,
+                    self.settings.engine.dispatcher.connect_timeout,
+                );
                 self.list_connection = Some(list);
                 self.event_loop.send(list, &hello(&self.settings), None);
                 self.event_loop.send(list, &Message::Follow {}, None);
@@ -728,13 +733,13 @@
         connections: shell.worker_connections,
         streams: shell.worker_streams,
         spread: shell.worker_streams,
-        connect_timeout: settings.engine.module.connect_timeout,
+        connect_timeout: settings.engine.dispatcher.connect_timeout,
         idle: shell.worker_idle,
     }
 }
 
 fn hello(settings: &GatewaySettings) -> Message {
-    let (name, zone) = (settings.name.clone(), settings.engine.module.zone.clone());
+    let (name, zone) = (settings.name.clone(), settings.engine.dispatcher.zone.clone());
     Message::Hello { role: Role::Gateway, name, zone }
 }
 
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -41,7 +41,7 @@
     let labelled = |map: &std::collections::BTreeMap<&'static str, u64>, label: &'static str| {
         map.iter().map(|(word, n)| (vec![(label, (*word).to_owned())], *n)).collect::<Vec<_>>()
     };
-    let taken = counts.classes.iter().zip(&counts.taken);
+    let taken = counts.classes.iter().zip(&counts.accepted);
     let taken = taken.map(|(class, n)| (vec![("class", class.clone())], *n)).collect();
     counter("calls_taken", "Calls taken, by class", taken);
     let answers = counts.answers.iter().map(|((class, status, reason), n)| {
@@ -53,7 +53,7 @@
         (labels.to_vec(), *n)
     });
     counter("answers", "Final answers, by class, status and reason", answers.collect());
-    let mut turned_away = counts.turned_away.clone();
+    let mut turned_away = counts.rejected.clone();
     *turned_away.entry("connection-full").or_default() +=
         gateway.client_counts.iter().map(|d| d.refused).sum::<u64>();
     counter("calls_turned_away", "Calls turned away untaken, by reason", labelled(&turned_away, "reason"));
@@ -71,7 +71,7 @@
     let total = |count: fn(&DoorCounts) -> u64| gateway.client_counts.iter().map(count).sum::<u64>();
     let current = |count: fn(&DoorCounts) -> usize| gateway.client_counts.iter().map(count).sum::<usize>();
     let counters = [
-        ("hold_orders", "Hold orders given", counts.orders),
+        ("hold_orders", "Hold orders given", counts.prewarm_orders),
         ("late_answers", "Answers to attempts that were over", counts.late_answers),
         ("repeats", "Repeats found by their key", counts.repeats),
         ("calls_abandoned", "Calls that every waiter left", counts.abandoned),
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -85,8 +85,8 @@
 impl GatewaySettings {
     /// The latency objective and value of each class, for the intake.
     pub fn class_terms(&self) -> Vec<Terms> {
-        let classes = self.engine.module.classes.iter();
-        classes.map(|class| Terms { aim: class.aim, worth: class.worth }).collect()
+        let classes = self.engine.dispatcher.classes.iter();
+        classes.map(|class| Terms { aim: class.latency_objective, worth: class.worth }).collect()
     }
 
     /// The settings that differ and can't change in a running gateway.
@@ -99,7 +99,7 @@
             ("holders", self.holders == other.holders),
             ("versions(...)", self.versions == other.versions),
             ("worker(...)", self.workers == other.workers),
-            ("the decision module's part", self.engine.module == other.engine.module),
+            ("the decision module's part", self.engine.dispatcher == other.engine.dispatcher),
         ];
         same.iter().filter(|(_, same)| !same).map(|(name, _)| *name).collect()
     }
--- a/crates/gateway/src/versions.rs
+++ b/crates/gateway/src/versions.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::path::Path;
 
-use cresswheel_engine::{Answer, Call, Client, Route};
+use cresswheel_engine::{Answer, Call, Client, VersionRoute};
 use cresswheel_protocol::{Micros, Origin, Status};
 use cresswheel_versions::{
     Callers, Compare, End, Expected, LOOK_EVERY, Question, Reply, Side, Status as VersionStatus, Versions,
@@ -91,7 +91,7 @@
     }
 
     /// Chooses the version for a call that arrives.
-    pub fn choose_version(&self, now: Micros, call: &Call, client: Client) -> Option<Route> {
+    pub fn choose_version(&self, now: Micros, call: &Call, client: Client) -> Option<VersionRoute> {
         // Most functions have no plan, and their calls need no id.
         self.versions.heard(&call.function)?;
         let call_id = self.call_id(client);
@@ -103,18 +103,18 @@
             call: &call_id,
         };
         let chosen = self.versions.choose(now, &call.function, &callers)?;
-        Some(Route {
+        Some(VersionRoute {
             function: chosen.routed,
             digest: chosen.digest,
-            new: chosen.side == Side::New,
-            twin: false,
+            is_new_version: chosen.side == Side::New,
+            is_shadow: false,
         })
     }
 
     /// Records how a call that was routed to a version ended.
     pub fn record_end(&mut self, call: &Call, status: Status, late: bool, erred: bool) {
-        let Some(route) = call.route.as_ref().filter(|route| !route.twin) else { return };
-        let side = if route.new { Side::New } else { Side::Old };
+        let Some(route) = call.route.as_ref().filter(|route| !route.is_shadow) else { return };
+        let side = if route.is_new_version { Side::New } else { Side::Old };
         let end = match (status, late) {
             (Status::Served, false) => End::InTime,
             (Status::Served, true) => End::Late,
@@ -127,13 +127,13 @@
     /// be safe to run twice; deferred calls get none. A shadow call has no idempotency key, so that no retry
     /// of the client matches it.
     pub fn shadow_call(&mut self, now: Micros, call: &Call, client: Client) -> Option<(Client, Call)> {
-        let route = call.route.as_ref().filter(|route| route.new && !call.deferred)?;
+        let route = call.route.as_ref().filter(|route| route.is_new_version && !call.deferred)?;
         let (plan, compare) = self.versions.compare(&call.function)?;
         if self.comparisons.len() >= MAX_COMPARISONS || !compare.takes(plan.salt, &self.call_id(client)) {
             return None;
         }
         let (function, digest) = (plan.routed(Side::Old), plan.digest(Side::Old).to_owned());
-        let route = Route { function, digest, twin: true, new: !route.new };
+        let route = VersionRoute { function, digest, is_shadow: true, is_new_version: !route.is_new_version };
         let trace = if call.trace.is_empty() { String::new() } else { format!("{}~twin", call.trace) };
         self.last_comparison += 1;
         let comparison = ShadowComparison {
--- a/crates/gateway/src/workers.rs
+++ b/crates/gateway/src/workers.rs
@@ -151,7 +151,7 @@
                 let number = self.complete(event_loop, connection, order);
                 Some(Input::OrderEnded(number, OrderEnd::Answered(ending), standing))
             }
-            Message::Probed { .. } => self.pool.worker(connection).map(Input::Probed),
+            Message::Probed { .. } => self.pool.worker(connection).map(Input::ProbeAnswered),
             Message::GoingAway { .. } => {
                 self.pool.leaving(connection);
                 None
--- a/crates/measure/src/lib.rs
+++ b/crates/measure/src/lib.rs
@@ -6,5 +6,7 @@
 mod line;
 mod process;
 
-pub use line::{Line, Series, Spread};
-pub use process::{processor_time_of, resident_bytes, resident_bytes_of, thread_time, value_of_child};
+pub use line::{LinearFit, Series, Spread};
+pub use process::{
+    process_cpu_time, resident_bytes, resident_bytes_of, run_child_for_value, thread_cpu_time,
+};
--- a/crates/measure/src/line.rs
+++ b/crates/measure/src/line.rs
@@ -43,16 +43,16 @@
 
 /// A linear function: `fixed + slope * quantity`.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Line {
+pub struct LinearFit {
     /// The value at quantity 0.
     pub fixed: f64,
     /// Increase of the value per unit of the quantity.
     pub slope: f64,
 }
 
-impl Line {
+impl LinearFit {
     /// The least-squares fit of the points; its slope is 0 if there are fewer than two distinct quantities.
-    pub fn through(points: &[(f64, f64)]) -> Self {
+    pub fn least_squares(points: &[(f64, f64)]) -> Self {
         let count = points.len().max(1) as f64;
         let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
         let mean_y = points.iter().map(|(_, y)| y).sum::<f64>() / count;
@@ -92,9 +92,9 @@
     }
 
     /// The linear fit of the medians.
-    pub fn line(&self) -> Line {
+    pub fn line(&self) -> LinearFit {
         let medians = self.points.iter().map(|(x, runs)| (*x, Spread::of(runs).median));
-        Line::through(&medians.collect::<Vec<_>>())
+        LinearFit::least_squares(&medians.collect::<Vec<_>>())
     }
 
     /// The slopes of the fits of the first runs, the second runs and so on.
@@ -102,7 +102,7 @@
         let runs = self.points.iter().map(|(_, runs)| runs.len()).min().unwrap_or(0);
         let of_run = |run: usize| {
             let points = self.points.iter().map(|(x, runs)| (*x, runs[run]));
-            Line::through(&points.collect::<Vec<_>>()).slope
+            LinearFit::least_squares(&points.collect::<Vec<_>>()).slope
         };
         Spread::of(&(0..runs).map(of_run).collect::<Vec<_>>())
     }
@@ -120,7 +120,7 @@
     }
 
     /// Whether the linear fit describes the measured values.
-    pub fn is_straight(&self) -> bool {
+    pub fn is_linear(&self) -> bool {
         self.worst_residual().0 <= MAX_RELATIVE_RESIDUAL
     }
 }
@@ -132,7 +132,7 @@
             writeln!(f, "  {x:>8}  {}", Spread::of(runs))?;
         }
         let (residual, at) = self.worst_residual();
-        let (line, verdict) = (self.line(), if self.is_straight() { "a line" } else { "NO LINE" });
+        let (line, verdict) = (self.line(), if self.is_linear() { "a line" } else { "NO LINE" });
         write!(f, "  {verdict}: fixed {}, slope {}; ", short(line.fixed), self.slopes())?;
         writeln!(f, "furthest residual {:.1}% at {at}", residual * 100.0)
     }
--- a/crates/measure/src/process.rs
+++ b/crates/measure/src/process.rs
@@ -9,13 +9,13 @@
 use rustix::time::{ClockId, clock_gettime};
 
 /// CPU time used by this thread.
-pub fn thread_time() -> Duration {
+pub fn thread_cpu_time() -> Duration {
     let time = clock_gettime(ClockId::ThreadCPUTime);
     Duration::new(time.tv_sec as u64, time.tv_nsec as u32)
 }
 
 /// CPU time used by all threads of a process, including threads that have ended.
-pub fn processor_time_of(process: u32) -> io::Result<Duration> {
+pub fn process_cpu_time(process: u32) -> io::Result<Duration> {
     let process = i32::try_from(process).map_err(|_| io::ErrorKind::NotFound)?;
     let time = clock_getcpuclockid(Pid::from_raw(process))?.now()?;
     Ok(Duration::from(time))
@@ -36,7 +36,7 @@
 
 /// Runs this program again with these arguments and parses the last line of its output as a number. Each
 /// measurement of memory needs a new process: what the allocator keeps of an earlier run would hide growth.
-pub fn value_of_child(arguments: &[String]) -> io::Result<f64> {
+pub fn run_child_for_value(arguments: &[String]) -> io::Result<f64> {
     let output = Command::new(std::env::current_exe()?).args(arguments).output()?;
     let text = String::from_utf8_lossy(&output.stdout);
     let value = text.lines().last().and_then(|line| line.trim().parse().ok());
--- a/crates/measure/tests/process.rs
+++ b/crates/measure/tests/process.rs
@@ -1,20 +1,20 @@
 //! Measured CPU time and memory reflect what the program does.
 
-use cresswheel_measure::{processor_time_of, resident_bytes, thread_time};
+use cresswheel_measure::{process_cpu_time, resident_bytes, thread_cpu_time};
 
 #[test]
 fn cpu_time_of_thread_and_process_grows_with_work() {
-    let (thread, process) = (thread_time(), processor_time_of(std::process::id()).unwrap());
+    let (thread, process) = (thread_cpu_time(), process_cpu_time(std::process::id()).unwrap());
     burn_cpu(std::time::Duration::from_millis(5));
-    assert!(thread_time() > thread);
-    assert!(processor_time_of(std::process::id()).unwrap() > process);
+    assert!(thread_cpu_time() > thread);
+    assert!(process_cpu_time(std::process::id()).unwrap() > process);
 }
 
 /// Uses this much CPU time on this thread.
 fn burn_cpu(duration: std::time::Duration) {
-    let start = thread_time();
+    let start = thread_cpu_time();
     let mut sum = 0u64;
-    while thread_time() - start < duration {
+    while thread_cpu_time() - start < duration {
         sum = std::hint::black_box(sum.wrapping_mul(31).wrapping_add(7));
     }
 }
@@ -23,7 +23,7 @@
 fn cpu_time_includes_ended_threads_and_reads_while_threads_end() {
     const USED: std::time::Duration = std::time::Duration::from_millis(100);
     let ended = std::sync::atomic::AtomicBool::new(false);
-    let before = processor_time_of(std::process::id()).unwrap();
+    let before = process_cpu_time(std::process::id()).unwrap();
     std::thread::scope(|scope| {
         scope.spawn(|| {
             // Threads start and end while the clock is read.
@@ -32,11 +32,11 @@
             ended.store(true, std::sync::atomic::Ordering::SeqCst);
         });
         while !ended.load(std::sync::atomic::Ordering::SeqCst) {
-            processor_time_of(std::process::id()).unwrap();
+            process_cpu_time(std::process::id()).unwrap();
         }
     });
     // The kernel accounts threads that have ended in clock ticks.
-    let after = processor_time_of(std::process::id()).unwrap();
+    let after = process_cpu_time(std::process::id()).unwrap();
     assert!(after - before >= USED / 2, "{before:?} {after:?}");
 }
 
@@ -51,5 +51,5 @@
 
 #[test]
 fn a_missing_process_is_an_error() {
-    assert!(processor_time_of(u32::MAX).is_err());
+    assert!(process_cpu_time(u32::MAX).is_err());
 }
--- a/crates/platform-wire/examples/directory_bytes.rs
+++ b/crates/platform-wire/examples/directory_bytes.rs
@@ -8,7 +8,7 @@
 
 use std::hint::black_box;
 
-use cresswheel_measure::{Series, thread_time};
+use cresswheel_measure::{Series, thread_cpu_time};
 use cresswheel_platform_wire::directory::{self, Listing};
 use cresswheel_protocol::{Listed, Standing};
 
@@ -44,9 +44,9 @@
         assert_eq!(listing.hosts.len(), hosts, "all hosts are read");
         length.add(hosts, vec![bytes.len() as f64]);
         let read = || {
-            let began = thread_time();
+            let began = thread_cpu_time();
             (0..REPEATS).for_each(|_| _ = black_box(directory::answer(black_box(&bytes))));
-            (thread_time() - began).as_secs_f64() * 1e6 / REPEATS as f64
+            (thread_cpu_time() - began).as_secs_f64() * 1e6 / REPEATS as f64
         };
         reading.add(hosts, (0..RUNS).map(|_| read()).collect());
     }
--- a/crates/platform-wire/src/config.rs
+++ b/crates/platform-wire/src/config.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use cresswheel::{PairError, Pairs, Settings, SettingsError};
+use cresswheel::{SettingPairError, SettingPairs, Settings, SettingsError};
 use serde::Deserialize;
 use serde_json::Value;
 
@@ -54,7 +54,7 @@
     Trailing(#[from] serde_json::Error),
     /// A setting is missing or invalid.
     #[error("configuration, settings: {0}")]
-    Setting(#[from] PairError),
+    Setting(#[from] SettingPairError),
     /// The settings contradict each other.
     #[error("configuration, {0}")]
     Inconsistent(#[from] SettingsError),
@@ -70,7 +70,7 @@
     }
 
     /// The settings as pairs of a path and a text.
-    pub fn pairs(&self) -> Pairs<'static> {
+    pub fn pairs(&self) -> SettingPairs<'static> {
         let mut pairs = Vec::new();
         flatten(String::new(), &self.settings, &mut pairs);
         pairs.into_iter().collect()
@@ -80,24 +80,30 @@
     pub fn module(&self) -> Result<Settings, ConfigError> {
         let settings = self.pairs().settings()?;
         if settings.classes.is_empty() {
-            return Err(PairError::Absent("profiles".into()).into());
+            return Err(SettingPairError::Absent("profiles".into()).into());
         }
         settings.check()?;
         let durations = [
             ("tick", settings.tick),
-            ("profiles, aim", settings.classes.iter().map(|class| class.aim).max().unwrap_or(0)),
-            ("profiles, give_up", settings.classes.iter().map(|class| class.give_up).max().unwrap_or(0)),
+            (
+                "profiles, aim",
+                settings.classes.iter().map(|class| class.latency_objective).max().unwrap_or(0),
+            ),
+            (
+                "profiles, give_up",
+                settings.classes.iter().map(|class| class.client_timeout).max().unwrap_or(0),
+            ),
             ("specifics.keep_alive", settings.keep_alive),
             ("specifics.load_wait", settings.order_timeout),
             ("limits.connect_timeout", settings.connect_timeout),
             ("limits.max_retry_after", settings.max_retry_after),
             ("rules.drain_grace", settings.drain_grace),
-            ("rules.warm_up", settings.cold.warm_up),
-            ("rules.fall", settings.cold.window),
+            ("rules.warm_up", settings.cold_start.warm_up),
+            ("rules.fall", settings.cold_start.overload_window),
         ];
         match durations.into_iter().find(|(_, duration)| *duration > MAX_DURATION) {
             Some((path, duration)) => {
-                Err(PairError::Bad { path: path.into(), text: duration.to_string() }.into())
+                Err(SettingPairError::Bad { path: path.into(), text: duration.to_string() }.into())
             }
             None => Ok(settings),
         }
--- a/crates/platform/src/departures.rs
+++ b/crates/platform/src/departures.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 
 use cresswheel::{Micros, WorkerId};
-use cresswheel_engine::{Attempt, AttemptEnd, Departure, Engine, Input, OrderEnd, WaitFor};
+use cresswheel_engine::{Attempt, AttemptEnd, Engine, Input, MissingEvidence, OrderEnd, SendDecision};
 use cresswheel_transport::Hub;
 
 use crate::hosts::{Hosts, Order};
@@ -87,7 +87,8 @@
             if matches!(pending.location, Location::Parked(_)) || hosts.is_unsent(hub, *number) {
                 return true;
             }
-            let violated = hosts.has_sent_bytes(hub, *number).then(|| engine.departed(at, *number)).flatten();
+            let violated =
+                hosts.has_sent_bytes(hub, *number).then(|| engine.record_sent(at, *number)).flatten();
             if let Some(rule) = violated {
                 tracing::error!(number, worker = %pending.item.worker(), rule, "left against a rule");
             }
@@ -106,14 +107,14 @@
         let numbers: Vec<u64> = self.pending.keys().copied().collect();
         let mut ended = Vec::new();
         for number in numbers {
-            let departure = engine.may_leave(now, number);
+            let departure = engine.may_send(now, number);
             let over = match departure {
-                Departure::Now => self.allow(now, number, hub, hosts, engine),
-                Departure::Wait(what) => self.park(now, number, what, hub, hosts),
-                Departure::Never(_) => self.cancel(number, hub, hosts),
+                SendDecision::Allow => self.allow(now, number, hub, hosts, engine),
+                SendDecision::Defer(what) => self.park(now, number, what, hub, hosts),
+                SendDecision::Deny(_) => self.cancel(number, hub, hosts),
             };
-            if departure != Departure::Now && (over.is_some() || self.parked_at(number) == Some(now)) {
-                engine.kept_back(departure);
+            if departure != SendDecision::Allow && (over.is_some() || self.parked_at(number) == Some(now)) {
+                engine.count_unsent(departure);
             }
             ended.extend(over);
         }
@@ -151,7 +152,7 @@
                 None
             }
             (_, Item::Attempt(attempt)) => {
-                (attempt.time_left, attempt.timeout) = engine.times_left(now, number)?;
+                (attempt.time_left, attempt.timeout) = engine.remaining_times(now, number)?;
                 pending.location = Location::Queued(now);
                 let ended = hosts.run(hub, attempt);
                 if ended.is_some() {
@@ -167,7 +168,7 @@
         &mut self,
         now: Micros,
         number: u64,
-        what: WaitFor,
+        what: MissingEvidence,
         hub: &mut Hub,
         hosts: &mut Hosts,
     ) -> Option<Input> {
@@ -178,7 +179,7 @@
             Location::Queued(_) => return None,
         };
         pending.location = Location::Parked(since);
-        if what == WaitFor::Worker {
+        if what == MissingEvidence::WorkerReport {
             hosts.request_probe(hub, now, pending.item.worker());
         }
         match pending.item {
--- a/crates/platform/src/directory.rs
+++ b/crates/platform/src/directory.rs
@@ -17,7 +17,9 @@
 use std::net::SocketAddr;
 
 use cresswheel::{Micros, WorkerId};
-use cresswheel_engine::{AGREEING, Contradictions, Exchange, ListAge, ListEvidence, ListTerms, ListVersion};
+use cresswheel_engine::{
+    Contradictions, ListAge, ListValidator, ListValidity, ListVersion, PollTimes, REQUIRED_CONFIRMATIONS,
+};
 use cresswheel_platform_wire::directory::{self, Listing};
 use cresswheel_transport::Hub;
 
@@ -48,13 +50,13 @@
 const MAX_RETIRED_SOCKETS: usize = 4;
 
 /// The rules of the protocol and the settings on when a gateway counts as notified of an event.
-pub fn terms(grace: Micros, workers_answer: bool) -> ListTerms {
-    ListTerms {
-        told_within: NOTIFIED_WITHIN,
-        told_in_silence: NOTIFIED_IN_SILENCE,
-        grace,
-        silent_after: SILENT_AFTER,
-        workers_answer,
+pub fn terms(grace: Micros, workers_answer: bool) -> ListValidity {
+    ListValidity {
+        notified_within: NOTIFIED_WITHIN,
+        notified_within_in_silence: NOTIFIED_IN_SILENCE,
+        drain_grace: grace,
+        silent_after_polls: SILENT_AFTER,
+        can_probe_workers: workers_answer,
     }
 }
 
@@ -83,7 +85,7 @@
     next: Micros,
     id: u16,
     queries: VecDeque<Query>,
-    evidence: ListEvidence,
+    evidence: ListValidator,
     age: ListAge,
     /// Queries sent since the last readable answer.
     unanswered_in_a_row: u32,
@@ -102,7 +104,7 @@
             next: now,
             id: seed as u16,
             queries: VecDeque::new(),
-            evidence: ListEvidence::new(ListVersion::new(known.serial, known.hosts), NOTIFIED_WITHIN),
+            evidence: ListValidator::new(ListVersion::new(known.serial, known.hosts), NOTIFIED_WITHIN),
             // The configuration contains the events notified by the start; later events may have happened.
             age: ListAge { as_of: now.saturating_sub(NOTIFIED_WITHIN), ..ListAge::default() },
             unanswered_in_a_row: 0,
@@ -117,7 +119,7 @@
             tracing::info!(%address, "another directory");
             self.address = address;
             self.retire_socket(hub, now);
-            self.age.unanswered = 0;
+            self.age.unanswered_polls = 0;
             self.unanswered_in_a_row = 0;
             self.next = now;
         }
@@ -144,7 +146,7 @@
 
     /// The current list.
     pub fn list(&self) -> &ListVersion {
-        self.evidence.held()
+        self.evidence.accepted()
     }
 
     /// Hosts on which answers contradict each other.
@@ -167,16 +169,16 @@
         if now < self.next {
             return false;
         }
-        self.age.unasked |= now.saturating_sub(self.next) > PAUSED_AFTER;
+        self.age.polling_interrupted |= now.saturating_sub(self.next) > PAUSED_AFTER;
         self.next = now
             + if self.unanswered_in_a_row < MAX_RETRIES { self.period / RETRY_DIVISOR } else { self.period };
         self.asked = now;
-        self.age.unanswered = self.age.unanswered.saturating_add(1);
-        self.age.first_unanswered.get_or_insert(now);
+        self.age.unanswered_polls = self.age.unanswered_polls.saturating_add(1);
+        self.age.next_poll_at.get_or_insert(now);
         self.unanswered_in_a_row = self.unanswered_in_a_row.saturating_add(1);
         if !self.silent && self.unanswered_in_a_row > SILENT_AFTER {
             self.silent = true;
-            tracing::warn!(serial = self.evidence.held().number, "the directory is silent");
+            tracing::warn!(serial = self.evidence.accepted().number, "the directory is silent");
         }
         if self.unanswered_in_a_row.is_multiple_of(SILENT_AFTER) {
             // The socket may be at fault rather than the directory, which can't be told apart from here: try
@@ -221,22 +223,22 @@
         }
         let (before, since) = (self.evidence.contradictions(), self.evidence.contradicted_since());
         let (serial, hosts) = (listing.serial, listing.hosts.len());
-        let exchange = Exchange { asked, heard: now };
-        let verdict = self.evidence.weigh(exchange, ListVersion::new(listing.serial, listing.hosts));
+        let exchange = PollTimes { polled_at: asked, received_at: now };
+        let verdict = self.evidence.evaluate(exchange, ListVersion::new(listing.serial, listing.hosts));
         if since.is_none() && self.evidence.contradicted_since().is_some() {
-            let (known, disputed) = (self.evidence.held().number, self.evidence.disputed().len());
+            let (known, disputed) = (self.evidence.accepted().number, self.evidence.disputed().len());
             tracing::info!(serial, hosts, known, disputed, "an answer contradicts the list");
         }
         self.log_settled(now, before, since);
         verdict.as_of.into_iter().for_each(|exchange| self.set_as_of(exchange));
-        let is_in_doubt = self.evidence.is_in_doubt();
+        let is_in_doubt = self.evidence.has_discrepancy();
         if !is_in_doubt {
-            self.age.unanswered = 0;
+            self.age.unanswered_polls = 0;
         }
         self.update_first_missing();
         // Query again soon if answers disagree, one is missing, or too few came after a gap.
-        let is_behind = asked.saturating_sub(self.age.as_of) > AGREEING as Micros * self.period;
-        if is_in_doubt || is_behind || self.age.first_missing.is_some_and(|missing| missing < asked) {
+        let is_behind = asked.saturating_sub(self.age.as_of) > REQUIRED_CONFIRMATIONS as Micros * self.period;
+        if is_in_doubt || is_behind || self.age.first_missing_poll_at.is_some_and(|missing| missing < asked) {
             self.next = self.next.min(self.asked + self.period / RETRY_DIVISOR);
         } else {
             self.next = self.next.max(self.asked + self.period);
@@ -248,7 +250,7 @@
     fn update_first_missing(&mut self) {
         let as_of = self.age.as_of;
         let missing = |sent_query: &&Query| sent_query.asked > as_of && !sent_query.is_answered;
-        self.age.first_missing = self.queries.iter().find(missing).map(|sent_query| sent_query.asked);
+        self.age.first_missing_poll_at = self.queries.iter().find(missing).map(|sent_query| sent_query.asked);
     }
 
     fn log_settled(&self, now: Micros, before: Contradictions, since: Option<Micros>) {
@@ -257,7 +259,7 @@
             return;
         }
         let lasted_ms = since.map_or(0, |since| now.saturating_sub(since) / 1_000);
-        let serial = self.evidence.held().number;
+        let serial = self.evidence.accepted().number;
         tracing::info!(serial, lasted_ms, "answers agree again");
         if after.overturned > before.overturned {
             tracing::warn!(serial, "the list in use was stale");
@@ -284,7 +286,7 @@
     }
 
     /// Records that the current list contains all events up to the time of that query.
-    fn set_as_of(&mut self, Exchange { asked, heard }: Exchange) {
+    fn set_as_of(&mut self, PollTimes { polled_at: asked, received_at: heard }: PollTimes) {
         if asked <= self.age.as_of {
             return;
         }
@@ -293,11 +295,11 @@
         let gaps = later().zip(std::iter::once(asked).chain(later()));
         self.age = ListAge {
             as_of: asked,
-            heard,
-            first_unanswered: later().next(),
-            first_missing: self.age.first_missing,
-            unanswered: self.age.unanswered,
-            unasked: gaps
+            received_at: heard,
+            next_poll_at: later().next(),
+            first_missing_poll_at: self.age.first_missing_poll_at,
+            unanswered_polls: self.age.unanswered_polls,
+            polling_interrupted: gaps
                 .into_iter()
                 .any(|(next, before)| next.saturating_sub(before) > PAUSED_AFTER + MAX_PERIOD),
         };
--- a/crates/platform/src/directory/tests.rs
+++ b/crates/platform/src/directory/tests.rs
@@ -30,7 +30,8 @@
         asked: Micros::from(id),
         is_answered: false,
     }));
-    let untouched = |directory: &Directory| !directory.evidence.is_in_doubt() && directory.list().number == 5;
+    let untouched =
+        |directory: &Directory| !directory.evidence.has_discrepancy() && directory.list().number == 5;
     assert!(!directory.answered(99, &answer(45, 9)) && untouched(&directory), "another id");
     assert!(!directory.answered(99, &answer(41, 9)[..20]) && untouched(&directory), "cut");
     assert!(!directory.answered(99, &[]) && !directory.answered(99, &[0, 41]) && untouched(&directory));
@@ -43,7 +44,7 @@
     assert!(!directory.answered(99, &answer(43, 6)), "two of three");
     assert_eq!(directory.list().number, 5);
     assert!(directory.answered(99, &answer(44, 6)));
-    assert!(!directory.evidence.is_in_doubt() && directory.list().number == 6);
+    assert!(!directory.evidence.has_discrepancy() && directory.list().number == 6);
 }
 
 #[test]
@@ -73,7 +74,7 @@
         // The next good answer restores the normal period.
         let last = directory.id;
         assert!(!directory.answered(asked[8] + 1, &answer(last, 5)));
-        assert_eq!(directory.age.unanswered, 0);
+        assert_eq!(directory.age.unanswered_polls, 0);
         for answers in 2..=3 {
             let due = directory.next_due();
             directory.tick(&mut hub, due);
@@ -99,15 +100,15 @@
     };
     let old = ask(&mut directory, &mut hub);
     assert!(!directory.answered(old + 10_000, &answer(41, 4)));
-    assert_eq!((directory.age().as_of, directory.age().unanswered), (500_000, 1), "an older list");
+    assert_eq!((directory.age().as_of, directory.age().unanswered_polls), (500_000, 1), "an older list");
     let times = [0; 4].map(|_| ask(&mut directory, &mut hub));
     assert_eq!(times.map(|time| time - old), [50_000, 100_000, 150_000, 200_000], "and is asked again soon");
     assert!(!directory.answered(times[3], &answer(42, 6)) && !directory.answered(times[3], &answer(43, 6)));
-    assert_eq!((directory.age().as_of, directory.age().unanswered), (500_000, 5), "two of three");
+    assert_eq!((directory.age().as_of, directory.age().unanswered_polls), (500_000, 5), "two of three");
     assert!(directory.answered(times[3] + 1, &answer(44, 6)));
     let age = directory.age();
-    assert_eq!((age.as_of, age.heard, age.first_unanswered), (times[0], times[3], Some(times[1])));
-    assert_eq!((age.unanswered, age.unasked), (0, false));
+    assert_eq!((age.as_of, age.received_at, age.next_poll_at), (times[0], times[3], Some(times[1])));
+    assert_eq!((age.unanswered_polls, age.polling_interrupted), (0, false));
     // A late answer to an earlier query makes nothing older.
     assert!(!directory.answered(times[3] + 2, &answer(45, 6)));
     assert!(!directory.answered(times[3] + 3, &answer(42, 6)));
@@ -115,7 +116,7 @@
     // The process is paused: earlier queries say nothing about that time.
     directory.tick(&mut hub, times[3] + 3_000_000);
     assert!(!directory.answered(times[3] + 3_000_001, &answer(46, 6)));
-    assert_eq!((directory.age().as_of, directory.age().unasked), (times[2], true));
+    assert_eq!((directory.age().as_of, directory.age().polling_interrupted), (times[2], true));
 }
 
 #[test]
@@ -125,7 +126,7 @@
         let due = directory.next_due();
         directory.tick(&mut hub, due);
         directory.answered(due, &answer(directory.id, serial));
-        let expected = if directory.evidence.is_in_doubt() { 50_000 } else { 200_000 };
+        let expected = if directory.evidence.has_discrepancy() { 50_000 } else { 200_000 };
         assert_eq!(directory.next_due() - due, expected);
     }
     assert_eq!(directory.list().number, 6);
--- a/crates/platform/src/hosts.rs
+++ b/crates/platform/src/hosts.rs
@@ -553,9 +553,9 @@
 
 /// Interprets the answer to a probe. A draining host answers 'down' and completes what it has.
 fn probe_outcome(worker: WorkerId, word: Word, asked: Micros) -> Vec<Input> {
-    let said = |serves| Input::WorkerSaid { worker: worker.clone(), serves, asked };
+    let said = |serves| Input::WorkerReported { worker: worker.clone(), serves, probed_at: asked };
     match word {
-        Word::Up => vec![said(true), Input::Probed(worker)],
+        Word::Up => vec![said(true), Input::ProbeAnswered(worker)],
         Word::Down => vec![said(false)],
         _ => Vec::new(),
     }
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -72,8 +72,8 @@
     pub fn of(config: &Config) -> Result<Self, ConfigError> {
         let pairs = config.pairs();
         let mut module = config.module()?;
-        let give_up = module.classes.iter().map(|class| class.give_up).max().unwrap_or(SECOND);
-        let aim = module.classes.iter().map(|class| class.aim).min().unwrap_or(SECOND);
+        let give_up = module.classes.iter().map(|class| class.client_timeout).max().unwrap_or(SECOND);
+        let aim = module.classes.iter().map(|class| class.latency_objective).min().unwrap_or(SECOND);
         // A missing timeout is not zero: a connect that takes longer than the shortest latency objective is
         // of no use to a call, and no call waits longer for a load than for itself.
         let or_default = |span: Micros, default: Micros| if span > 0 { span } else { default };
@@ -91,7 +91,7 @@
             directory: config.names,
             seed: config.seed(),
             engine: EngineSettings {
-                module,
+                dispatcher: module,
                 admission: AdmissionLimits {
                     open_calls,
                     open_bytes: memory / 4,
@@ -100,7 +100,7 @@
                 },
                 results: ResultLimits { keep: 0, bytes: 0 },
                 answer_margin,
-                most_time: give_up.saturating_mul(10),
+                max_time: give_up.saturating_mul(10),
                 deferred_time: give_up,
             },
             door: DoorLimits {
@@ -141,7 +141,7 @@
     /// while it runs.
     pub fn is_same_gateway(&self, other: &Self) -> bool {
         let classes = |settings: &Self| -> Vec<String> {
-            settings.engine.module.classes.iter().map(|class| class.name.clone()).collect()
+            settings.engine.dispatcher.classes.iter().map(|class| class.name.clone()).collect()
         };
         self.name == other.name && self.listen == other.listen && classes(self) == classes(other)
     }
--- a/crates/platform/src/shell.rs
+++ b/crates/platform/src/shell.rs
@@ -94,7 +94,7 @@
         hub.leave_within(LONG_ITERATION);
         let now = hub.clock().now();
         let mut engine = Engine::new(settings.engine.clone(), settings.seed ^ now)?;
-        let module = &settings.engine.module;
+        let module = &settings.engine.dispatcher;
         let directory = Directory::new(
             now,
             settings.directory,
@@ -102,7 +102,7 @@
             settings.seed,
             module.drain_grace,
         );
-        engine.hold_to_list_age(directory::terms(module.drain_grace, module.may_probe), directory.age());
+        engine.limit_list_age(directory::terms(module.drain_grace, module.may_probe), directory.age());
         let mut gateway = Self {
             clients: ClientConnections::new(now, settings.door),
             hosts: Hosts::new(settings.carriers, settings.host_connections, settings.duplicate_windows),
@@ -168,7 +168,7 @@
                 self.hosts.expire(&mut self.hub);
                 let mut bounds = self.settings.engine.clone();
                 bounds.answer_margin = self.loop_lag.margin(self.settings.engine.answer_margin);
-                self.engine.change_bounds(&bounds);
+                self.engine.update_limits(&bounds);
             }
             if self.next_counts <= now {
                 self.next_counts = now + COUNTS_INTERVAL;
@@ -284,7 +284,7 @@
                 if is_new {
                     self.apply_list();
                 }
-                self.feed_engine(Input::ListDisputed(self.directory.disputed()));
+                self.feed_engine(Input::WorkersDisputed(self.directory.disputed()));
             }
             Notice::Signal(Signal::SIGHUP) => self.reload_configuration(),
             Notice::Signal(signal) if self.phase == Phase::Running => {
@@ -326,7 +326,7 @@
             }
             ClientEvent::Left(connection) => {
                 tracing::debug!(connection, "left");
-                self.feed_engine(Input::Left(connection));
+                self.feed_engine(Input::Disconnected(connection));
             }
         }
     }
@@ -341,9 +341,9 @@
             tenant: request.tenant,
             // Hosts deduplicate; this gateway stores no results, and a call ends when its client leaves.
             key: request.once,
-            is_key_for_workers: true,
+            workers_deduplicate: true,
             trace: request.id,
-            time_left: (request.wait_ms * 1_000).saturating_sub(elapsed).max(1),
+            timeout: (request.wait_ms * 1_000).saturating_sub(elapsed).max(1),
             shape: request.shape,
             body: request.body,
             account: None,
@@ -383,21 +383,21 @@
         match output {
             Output::Answer(client, answer) => self.answer(client, &answer),
             Output::Run(attempt) => self.run_attempt(attempt),
-            Output::Withdraw(_, attempt) => {
+            Output::CancelIfUnsent(_, attempt) => {
                 if self.unsent_items.forget_parked(attempt) || self.hosts.withdraw(&mut self.hub, attempt) {
                     let end = AttemptEnd::TakenBack;
                     self.inputs.push_back(Input::AttemptEnded(attempt, end, Vec::new(), None));
                 }
             }
-            Output::Overdue(_, attempt) | Output::CancelRun(_, attempt) => {
+            Output::AttemptTimedOut(_, attempt) | Output::CancelAttempt(_, attempt) => {
                 if !self.unsent_items.forget_parked(attempt) {
                     self.hosts.cancel(&mut self.hub, attempt);
                 }
             }
-            Output::Hold { worker, order, function, count, .. } => {
+            Output::Prewarm { worker, order, function, count, .. } => {
                 self.prewarm(Order { worker, number: order, function, count });
             }
-            Output::Drop(worker, function) => {
+            Output::Unload(worker, function) => {
                 tracing::debug!(%worker, %function, "unload");
                 self.hosts.unload(&mut self.hub, &worker, &function);
             }
@@ -405,8 +405,8 @@
             Output::Log(text) => tracing::info!("{text}"),
             // Reused streams are handled by the client connections, the directory is followed from the start,
             // and this protocol has no versions or deferred calls.
-            Output::Close(..) | Output::Follow | Output::Accepted(..) => {}
-            Output::Over { .. } | Output::Ran(..) | Output::Loaded(..) => {}
+            Output::Close(..) | Output::RequestList | Output::Accepted(..) => {}
+            Output::CallCompleted { .. } | Output::VersionReported(..) | Output::PrewarmEnded(..) => {}
         }
     }
 
@@ -418,7 +418,7 @@
             function = %call.function,
             class = %call.class,
             attempt = attempt.number,
-            before = attempt.before,
+            before = attempt.previous_attempts,
             timeout = attempt.timeout,
             "run"
         );
@@ -472,15 +472,15 @@
             unasked = hosts.unexpected,
             open = self.engine.open_calls(),
             out = self.engine.open_attempts(),
-            taken = ?counters.taken,
+            taken = ?counters.accepted,
             attempts = ?counters.attempts,
             answers = ?counters.answers,
-            orders = counters.orders,
-            kept_back = ?counters.kept_back,
+            orders = counters.prewarm_orders,
+            kept_back = ?counters.unsent,
             violations = ?counters.violations,
             closed_owed = self.clients.closed_unanswered,
             list_age = self.hub.clock().now().saturating_sub(self.directory.age().as_of),
-            turned_away = ?(rejected, &counters.turned_away),
+            turned_away = ?(rejected, &counters.rejected),
             serial = self.directory.list().number,
             contradictions = ?self.directory.contradictions(),
             margin = self.loop_lag.margin(self.settings.engine.answer_margin),
--- a/crates/protocol/examples/message_bytes.rs
+++ b/crates/protocol/examples/message_bytes.rs
@@ -8,7 +8,7 @@
 
 use std::hint::black_box;
 
-use cresswheel_measure::{Series, thread_time};
+use cresswheel_measure::{Series, thread_cpu_time};
 use cresswheel_protocol::{
     Decoder, Ending, Limits, Listed, Message, Origin, Role, Shape, Standing, Status, encode,
 };
@@ -93,9 +93,9 @@
 
 /// Average time of `work` in microseconds, over this many runs.
 fn time_each(times: usize, mut work: impl FnMut()) -> f64 {
-    let began = thread_time();
+    let began = thread_cpu_time();
     (0..times).for_each(|_| work());
-    (thread_time() - began).as_secs_f64() * 1e6 / times as f64
+    (thread_cpu_time() - began).as_secs_f64() * 1e6 / times as f64
 }
 
 fn read(bytes: &[u8]) -> Message {
--- a/crates/rehearsal/src/split.rs
+++ b/crates/rehearsal/src/split.rs
@@ -4,7 +4,8 @@
 use std::time::Instant;
 
 use cresswheel::{
-    Action, Class, Dispatcher, Effect, Event, ListNews, Outcome, Request, Settings, WorkerEntry, WorkerState,
+    Action, Class, Dispatcher, Effect, Event, Outcome, Request, Settings, WorkerEntry, WorkerListUpdate,
+    WorkerState,
 };
 use cresswheel_engine::{
     AdmissionLimits, AttemptEnd, Call, Client, Engine, EngineSettings, Input, Output, ResultLimits,
@@ -29,8 +30,8 @@
 fn settings() -> Settings {
     let class = Class {
         name: "check".into(),
-        aim: 600_000,
-        give_up: 10_000_000,
+        latency_objective: 600_000,
+        client_timeout: 10_000_000,
         effect: Effect::Safe,
         streamed: false,
         worth: 1.0,
@@ -39,7 +40,7 @@
     let (keep_alive, order_timeout) = (60_000_000, 10_000_000);
     Settings {
         classes: vec![class],
-        may_order: true,
+        may_prewarm: true,
         keep_alive,
         order_timeout,
         max_attempts: 4,
@@ -58,10 +59,14 @@
     let mut actions = Vec::new();
     let entry = |n: usize| WorkerEntry {
         id: format!("w{n}").as_str().into(),
-        state: WorkerState::In,
+        state: WorkerState::InService,
         ..WorkerEntry::default()
     };
-    module.handle(0, Event::List(ListNews::Whole((0..WORKERS).map(entry).collect())), &mut actions);
+    module.handle(
+        0,
+        Event::List(WorkerListUpdate::Complete((0..WORKERS).map(entry).collect())),
+        &mut actions,
+    );
     let mut out = std::collections::VecDeque::new();
     let (mut now, mut wake) = (1, u64::MAX);
     let began = Instant::now();
@@ -74,21 +79,21 @@
             function: format!("f{}", n % 16).as_str().into(),
             time_left: 10_000_000,
             memory_mb: Some(10.0),
-            lanes: Some(100_000),
+            concurrency: Some(100_000),
             load_time: None,
         };
         module.handle(now, Event::Arrived(request), &mut actions);
         if out.len() >= OUT
             && let Some((request, worker, sent)) = out.pop_front()
         {
-            let ended = Event::Ended {
+            let ended = Event::AttemptEnded {
                 request,
                 attempt: 0,
                 worker,
                 outcome: Outcome::Ok,
                 elapsed: now - sent,
                 answered: true,
-                crowd: Some(0),
+                worker_in_flight: Some(0),
                 load_failed: false,
             };
             module.handle(now, ended, &mut actions);
@@ -110,11 +115,11 @@
 
 fn engine(body: usize) -> f64 {
     let settings = EngineSettings {
-        module: settings(),
+        dispatcher: settings(),
         admission: AdmissionLimits { per_connection: 1_000_000, ..AdmissionLimits::default() },
         results: ResultLimits::default(),
         answer_margin: 10_000,
-        most_time: 60_000_000,
+        max_time: 60_000_000,
         deferred_time: 60_000_000,
     };
     let Ok(mut engine) = Engine::new(settings, 1) else { return f64::NAN };
@@ -142,12 +147,12 @@
             tenant: String::new(),
             key: String::new(),
             trace: String::new(),
-            time_left: 10_000_000,
+            timeout: 10_000_000,
             shape: Shape { memory_mb: 10, lanes: 100_000, load_time: 0, work: 0 },
             body: answer.clone(),
             account: None,
             route: None,
-            is_key_for_workers: false,
+            workers_deduplicate: false,
         };
         engine.handle(now, Input::Call(Client { connection: number % 8, number }, call), &mut outputs);
         if out.len() >= OUT
--- a/crates/scale/src/hollow.rs
+++ b/crates/scale/src/hollow.rs
@@ -64,13 +64,13 @@
         adapt(
             &mut new,
             &self.settings.name,
-            &self.settings.engine.module.zone,
-            self.settings.engine.module.gateways,
+            &self.settings.engine.dispatcher.zone,
+            self.settings.engine.dispatcher.gateways,
         );
         new.engine.admission.open_calls += version as usize;
         let fixed = self.settings.fixed_differences(&new);
         anyhow::ensure!(fixed.is_empty(), "needs a restart: {}", fixed.join(", "));
-        self.engine.change_bounds(&new.engine);
+        self.engine.update_limits(&new.engine);
         self.settings = new;
         Ok(self.book(Kind::Settings, before))
     }
@@ -106,8 +106,8 @@
 /// Makes the common settings those of one gateway of a fleet.
 fn adapt(settings: &mut GatewaySettings, name: &str, zone: &str, gateways: u32) {
     settings.name = name.into();
-    settings.engine.module.zone = zone.into();
-    settings.engine.module.gateways = gateways;
+    settings.engine.dispatcher.zone = zone.into();
+    settings.engine.dispatcher.gateways = gateways;
     settings.workers = Vec::new();
 }
 
--- a/crates/scale/src/real.rs
+++ b/crates/scale/src/real.rs
@@ -238,7 +238,7 @@
 
     /// Each gateway gets its part of the fleet's calls for a while.
     fn load(&mut self, inputs: &RealInputs, span: Duration) -> anyhow::Result<()> {
-        let class = inputs.settings.engine.module.classes.first().map_or("", |class| class.name.as_str());
+        let class = inputs.settings.engine.dispatcher.classes.first().map_or("", |class| class.name.as_str());
         let mut clients = Vec::new();
         for (number, gateway) in self.gateways.iter().enumerate() {
             let (at, class, mut scenario) = (gateway.main, class.to_owned(), inputs.scenario.clone());
--- a/crates/scale/src/run/gateways.rs
+++ b/crates/scale/src/run/gateways.rs
@@ -27,7 +27,7 @@
         self.queue.push(now + gap, Event::CallArrival);
         let gateway = self.calls.gateway();
         let function = self.calls.function();
-        let classes = &self.settings.engine.module.classes;
+        let classes = &self.settings.engine.dispatcher.classes;
         let class = &classes[self.counts.calls as usize % classes.len()].name;
         let call = call(function_name(function), class.clone(), self.scenario);
         self.counts.calls += 1;
@@ -87,18 +87,18 @@
         match output {
             Output::Answer(client, answer) => self.answer_client(client, &answer),
             Output::Run(attempt) => self.run_attempt(gateway, &attempt),
-            Output::CancelRun(worker, number) | Output::Overdue(worker, number) => {
+            Output::CancelAttempt(worker, number) | Output::AttemptTimedOut(worker, number) => {
                 let message = Message::CancelRun { attempt: number };
                 self.send_to_worker(gateway, &worker, number, &message, WorkerRequest::Cancel);
             }
-            Output::Hold { worker, order, function, count, shape } => {
+            Output::Prewarm { worker, order, function, count, shape } => {
                 let function = function.to_string();
                 let message =
                     Message::Hold { order, function: function.clone(), count, shape: shape.clone() };
                 let request = WorkerRequest::Hold { function, count, shape };
                 self.send_to_worker(gateway, &worker, order, &message, request);
             }
-            Output::Drop(worker, function) => {
+            Output::Unload(worker, function) => {
                 let function = function.to_string();
                 let message = Message::Drop { function: function.clone() };
                 let request = WorkerRequest::Drop { function };
@@ -109,9 +109,13 @@
                 self.send_to_worker(gateway, &worker, NO_NUMBER, &message, WorkerRequest::Probe);
             }
             // What was sent has left at once here: nothing can be taken back.
-            Output::Withdraw(..) => {}
+            Output::CancelIfUnsent(..) => {}
             // The list is followed from the start; calls here have no versions and none is deferred.
-            Output::Follow | Output::Loaded(..) | Output::Over { .. } | Output::Ran(..) | Output::Log(_) => {}
+            Output::RequestList
+            | Output::PrewarmEnded(..)
+            | Output::CallCompleted { .. }
+            | Output::VersionReported(..)
+            | Output::Log(_) => {}
             Output::Accepted(..) | Output::Close(..) => {}
         }
     }
@@ -137,7 +141,7 @@
         let call = &attempt.call;
         let message = attempt.message();
         let request = WorkerRequest::Run {
-            function: call.routed().to_owned(),
+            function: call.routed_function().to_owned(),
             shape: call.shape.clone(),
             time_left: attempt.time_left,
         };
--- a/crates/scale/src/run/summary.rs
+++ b/crates/scale/src/run/summary.rs
@@ -96,10 +96,10 @@
             connections: connections.iter().sum::<usize>() as f64 / count,
             most_connections: connections.iter().copied().max().unwrap_or(0),
             connections_opened: gateways.iter().map(|gateway| gateway.opened).sum(),
-            taken: counters().map(|counters| counters.taken.iter().sum::<u64>()).sum(),
+            taken: counters().map(|counters| counters.accepted.iter().sum::<u64>()).sum(),
             attempts_ended: counters().map(|counters| counters.attempts.values().sum::<u64>()).sum(),
             attempts_open: gateways.iter().map(|gateway| gateway.engine.open_attempts() as u64).sum(),
-            orders: counters().map(|counters| counters.orders).sum(),
+            orders: counters().map(|counters| counters.prewarm_orders).sum(),
             list_behind: gateways.iter().filter(|gateway| gateway.list_version < newest_list).count(),
             stale_attempts: counts.stale_attempts,
         }
--- a/crates/scale/src/run/workers.rs
+++ b/crates/scale/src/run/workers.rs
@@ -58,7 +58,7 @@
     fn answer_probe(&mut self, worker: usize, gateway: usize) {
         let message = Message::Probed { number: 0, held: 0, queued: 0 };
         let id = WorkerId::from(self.workers[worker].entry.id.as_str());
-        let input = GatewayInput { kind: Kind::Probed, input: Input::Probed(id) };
+        let input = GatewayInput { kind: Kind::Probed, input: Input::ProbeAnswered(id) };
         self.send_message(worker, gateway, &message, input);
     }
 
--- a/crates/scale/src/script.rs
+++ b/crates/scale/src/script.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write;
 use std::net::SocketAddr;
 
-use cresswheel::{Effect, Group, WhenAbsent};
+use cresswheel::{Effect, Group, MissPolicy};
 use cresswheel_gateway::GatewaySettings;
 
 /// A script that reads back to the same decision module's part, with another name and other addresses.
@@ -22,10 +22,10 @@
     open_calls: usize,
     to: &mut String,
 ) -> std::fmt::Result {
-    let (module, engine) = (&settings.engine.module, &settings.engine);
+    let (module, engine) = (&settings.engine.dispatcher, &settings.engine);
     writeln!(to, "gateway(name = {:?}, zone = {:?}, listen = \"127.0.0.1:0\",", settings.name, module.zone)?;
     writeln!(to, "    list = [\"{list}\"], holders = 0, tick = us({}),", module.tick)?;
-    let (margin, most, deferred) = (engine.answer_margin, engine.most_time, engine.deferred_time);
+    let (margin, most, deferred) = (engine.answer_margin, engine.max_time, engine.deferred_time);
     writeln!(
         to,
         "    answer_margin = us({margin}), most_time = us({most}), deferred_time = us({deferred}))"
@@ -34,11 +34,11 @@
 }
 
 fn write_classes(settings: &GatewaySettings, to: &mut String) -> std::fmt::Result {
-    for class in &settings.engine.module.classes {
+    for class in &settings.engine.dispatcher.classes {
         let effect = match class.effect {
             Effect::Safe => "\"safe\"".to_owned(),
             Effect::Unsafe => "\"unsafe\"".to_owned(),
-            Effect::Keyed { group, memory } => {
+            Effect::Keyed { group, retention: memory } => {
                 let group = match group {
                     Group::All => "all",
                     Group::Zone => "zone",
@@ -50,7 +50,7 @@
         writeln!(
             to,
             "call_class(name = {:?}, aim = us({}), give_up = us({}),",
-            class.name, class.aim, class.give_up
+            class.name, class.latency_objective, class.client_timeout
         )?;
         writeln!(
             to,
@@ -58,7 +58,7 @@
             class.worth, class.late_worth
         )?;
     }
-    for tenant in &settings.engine.module.tenants {
+    for tenant in &settings.engine.dispatcher.tenants {
         let quota = match tenant.quota_per_s {
             quota if quota.is_finite() => format!(", quota_per_s = {quota:?}"),
             _ => String::new(),
@@ -69,26 +69,31 @@
 }
 
 fn write_fleet(settings: &GatewaySettings, to: &mut String) -> std::fmt::Result {
-    let module = &settings.engine.module;
+    let module = &settings.engine.dispatcher;
     let flag = |value: bool| if value { "True" } else { "False" };
-    let absent = match module.when_absent {
-        WhenAbsent::Load => "load",
-        WhenAbsent::Miss => "miss",
+    let absent = match module.miss_policy {
+        MissPolicy::Load => "load",
+        MissPolicy::Miss => "miss",
     };
     writeln!(to, "fleet(gateways = {}, keep_alive = us({}),", module.gateways, module.keep_alive)?;
-    writeln!(to, "    when_absent = {absent:?}, may_order = {},", flag(module.may_order))?;
+    writeln!(to, "    when_absent = {absent:?}, may_order = {},", flag(module.may_prewarm))?;
     writeln!(to, "    may_cancel = {}, may_probe = {},", flag(module.may_cancel), flag(module.may_probe))?;
     writeln!(
         to,
         "    may_duplicate = {}, tells_crowd = {},",
-        flag(module.may_duplicate),
-        flag(module.tells_crowd)
+        flag(module.may_hedge),
+        flag(module.reports_in_flight)
+    )?;
+    writeln!(
+        to,
+        "    must_follow = {}, ask_within = us({}),",
+        flag(module.must_subscribe),
+        module.list_poll_interval
     )?;
-    writeln!(to, "    must_follow = {}, ask_within = us({}),", flag(module.must_follow), module.ask_within)?;
     writeln!(
         to,
         "    most_instances = {}, order_timeout = us({}),",
-        module.most_instances, module.order_timeout
+        module.max_instances_per_order, module.order_timeout
     )?;
     writeln!(
         to,
@@ -105,11 +110,11 @@
         memories.join(", "),
         module.over_quota_worth
     )?;
-    let cold = &module.cold;
-    writeln!(to, "cold_start(from_share = {:?}, warm_up = us({}),", cold.from, cold.warm_up)?;
-    writeln!(to, "    multiple = {:?}, window = us({}))", cold.multiple, cold.window)?;
-    if let Some(ration) = &module.ration {
-        let (window, free, per_call) = (ration.window, ration.free, ration.per_request);
+    let cold = &module.cold_start;
+    writeln!(to, "cold_start(from_share = {:?}, warm_up = us({}),", cold.initial_share, cold.warm_up)?;
+    writeln!(to, "    multiple = {:?}, window = us({}))", cold.overload_multiple, cold.overload_window)?;
+    if let Some(ration) = &module.order_rate_limit {
+        let (window, free, per_call) = (ration.window, ration.base_orders, ration.per_request);
         writeln!(to, "ration(window = us({window}), free = {free:?}, per_call = {per_call:?})")?;
     }
     Ok(())
--- a/crates/scale/src/size.rs
+++ b/crates/scale/src/size.rs
@@ -91,7 +91,7 @@
     let most = (machine / 2).min(available).min(limit.unwrap_or(u64::MAX));
     let process = memory::resident()?;
     let (gateway, function) = trial(scenario, settings)?;
-    let known_for = settings.engine.module.keep_alive.saturating_mul(FORGET);
+    let known_for = settings.engine.dispatcher.keep_alive.saturating_mul(FORGET);
     let span = known_for.min((scenario.seconds * 1e6) as Micros);
     let functions_known = expected_functions(scenario, span);
     let each = gateway + (function as f64 * functions_known) as u64;
@@ -123,7 +123,7 @@
         gateways.push(gateway(number)?);
     }
     let listed = memory::resident()?;
-    let class = settings.engine.module.classes.first().map_or("", |class| class.name.as_str());
+    let class = settings.engine.dispatcher.classes.first().map_or("", |class| class.name.as_str());
     let (least, most) = TRIAL_FUNCTIONS;
     let functions = (TRIAL_ORDERS / scenario.workers).clamp(least, most);
     let mut call_all = |from: usize| {
@@ -166,9 +166,9 @@
         class,
         tenant: String::new(),
         key: String::new(),
-        is_key_for_workers: false,
+        workers_deduplicate: false,
         trace: String::new(),
-        time_left: 0,
+        timeout: 0,
         shape: scenario.shape.clone(),
         body: vec![0; scenario.body],
         account: None,
--- a/crates/scale/src/worker.rs
+++ b/crates/scale/src/worker.rs
@@ -1,6 +1,6 @@
 //! A simulated worker: the stand-in worker's model, without its sockets.
 
-use cresswheel::WhenAbsent;
+use cresswheel::MissPolicy;
 use cresswheel_gateway::GatewaySettings;
 use cresswheel_protocol::{Listed, Micros, Shape, Standing};
 use cresswheel_settings::ScaleScenario;
@@ -148,16 +148,16 @@
 
 /// What the workers of a scenario are.
 pub fn profile(scenario: &ScaleScenario, settings: &GatewaySettings, number: usize) -> Profile {
-    let module = &settings.engine.module;
+    let module = &settings.engine.dispatcher;
     let instances = scenario.instances.div_ceil(scenario.workers) as u32;
     Profile {
         memory_mb: instances.saturating_mul(scenario.shape.memory_mb),
         keep_alive: module.keep_alive,
-        load_on_call: module.when_absent == WhenAbsent::Load,
-        cold_from: module.cold.from,
-        warm_up: module.cold.warm_up,
-        fall_multiple: module.cold.multiple,
-        fall_window: module.cold.window,
+        load_on_call: module.miss_policy == MissPolicy::Load,
+        cold_from: module.cold_start.initial_share,
+        warm_up: module.cold_start.warm_up,
+        fall_multiple: module.cold_start.overload_multiple,
+        fall_window: module.cold_start.overload_window,
         seed: scenario.seed.wrapping_mul(1_000_003).wrapping_add(number as u64),
         ..Profile::default()
     }
--- a/crates/scale/tests/counts.rs
+++ b/crates/scale/tests/counts.rs
@@ -193,7 +193,7 @@
     let list = "127.0.0.1:7".parse().unwrap();
     folder.write("real.star", &cresswheel_scale::real::script(&settings, list, 123));
     let real = cresswheel_settings::read(&folder.path("real.star")).unwrap();
-    assert_eq!(real.engine.module, settings.engine.module);
+    assert_eq!(real.engine.dispatcher, settings.engine.dispatcher);
     assert_eq!((real.list, real.engine.admission.open_calls), (vec![list], 123));
 }
 
--- a/crates/settings/examples/reload_cost.rs
+++ b/crates/settings/examples/reload_cost.rs
@@ -10,7 +10,7 @@
 use std::hint::black_box;
 use std::path::Path;
 
-use cresswheel_measure::{Series, resident_bytes, thread_time, value_of_child};
+use cresswheel_measure::{Series, resident_bytes, run_child_for_value, thread_cpu_time};
 
 /// Numbers of `tenant(...)` sections. A script with more than about 14,000 exceeds the limit of 1 MiB.
 const TENANT_COUNTS: [usize; 6] = [1, 100, 1_000, 2_000, 5_000, 10_000];
@@ -29,12 +29,12 @@
 
 /// Reads the settings; returns the CPU time in microseconds.
 fn read(path: &Path) -> f64 {
-    let start = thread_time();
+    let start = thread_cpu_time();
     match cresswheel_settings::read(path) {
         Ok(settings) => _ = black_box(settings),
         Err(errors) => panic!("{errors}"),
     }
-    (thread_time() - start).as_secs_f64() * 1e6
+    (thread_cpu_time() - start).as_secs_f64() * 1e6
 }
 
 fn with_script<T>(tenants: usize, measure: impl FnOnce(&Path) -> T) -> T {
@@ -64,7 +64,7 @@
         length.add(tenants, vec![script(tenants).len() as f64]);
         time.add(tenants, with_script(tenants, |path| (0..RUNS).map(|_| read(path)).collect()));
         let child = [tenants.to_string()];
-        memory.add(tenants, (0..RUNS).map(|_| value_of_child(&child).expect("a child")).collect());
+        memory.add(tenants, (0..RUNS).map(|_| run_child_for_value(&child).expect("a child")).collect());
     }
     println!("{length}\n{time}\n{memory}");
 }
--- a/crates/settings/src/gateway.rs
+++ b/crates/settings/src/gateway.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use cresswheel::{Class, ColdStart, Effect, Group, OrderRation, Settings, Tenant, WhenAbsent};
+use cresswheel::{Class, ColdStart, Effect, Group, MissPolicy, OrderRateLimit, Settings, Tenant};
 use cresswheel_engine::{AdmissionLimits, EngineSettings, ResultLimits};
 use cresswheel_gateway::{GatewaySettings, ShellLimits, VersionSettings};
 use cresswheel_protocol::{Listed, Standing};
@@ -42,12 +42,12 @@
         let mut fields = Fields::new(section, &mut errors);
         match kind.as_str() {
             "gateway" => read_gateway(&mut fields, &mut settings),
-            "fleet" => read_fleet(&mut fields, &mut settings.engine.module),
-            "call_class" => read_class(&mut fields, &mut settings.engine.module),
-            "tenant" => read_tenant(&mut fields, &mut settings.engine.module),
-            "cold_start" => read_cold_start(&mut fields, &mut settings.engine.module),
+            "fleet" => read_fleet(&mut fields, &mut settings.engine.dispatcher),
+            "call_class" => read_class(&mut fields, &mut settings.engine.dispatcher),
+            "tenant" => read_tenant(&mut fields, &mut settings.engine.dispatcher),
+            "cold_start" => read_cold_start(&mut fields, &mut settings.engine.dispatcher),
             "versions" => read_versions(&mut fields, &mut settings),
-            "ration" => read_ration(&mut fields, &mut settings.engine.module),
+            "ration" => read_ration(&mut fields, &mut settings.engine.dispatcher),
             "worker" => read_worker(&mut fields, &mut settings.workers),
             _ => read_limits(&mut fields, &mut settings),
         }
@@ -73,27 +73,27 @@
     let module = Settings {
         tick: MILLISECOND,
         keep_alive: 10 * SECOND,
-        most_instances: 1,
-        when_absent: WhenAbsent::Miss,
-        may_order: true,
-        tells_crowd: true,
+        max_instances_per_order: 1,
+        miss_policy: MissPolicy::Miss,
+        may_prewarm: true,
+        reports_in_flight: true,
         order_timeout: 10 * SECOND,
         may_cancel: true,
         may_probe: true,
         max_attempts: 4,
         connect_timeout: 250 * MILLISECOND,
         drain_grace: SECOND,
-        ask_within: 10 * SECOND,
+        list_poll_interval: 10 * SECOND,
         ..Settings::default()
     };
     GatewaySettings {
         name: String::new(),
         engine: EngineSettings {
-            module,
+            dispatcher: module,
             admission: AdmissionLimits::default(),
             results: ResultLimits::default(),
             answer_margin: 10 * MILLISECOND,
-            most_time: 600 * SECOND,
+            max_time: 600 * SECOND,
             deferred_time: 60 * SECOND,
         },
         listen: ([127, 0, 0, 1], 0).into(),
@@ -114,17 +114,17 @@
     settings.list = fields.addresses("list");
     settings.state = fields.text("state").map(Into::into);
     settings.holders = fields.optional_count("holders", (0, 64));
-    let module = &mut settings.engine.module;
+    let module = &mut settings.engine.dispatcher;
     module.zone = fields.text("zone").unwrap_or_default();
     module.tick = fields.time("tick", module.tick);
     settings.engine.answer_margin = fields.time("answer_margin", settings.engine.answer_margin);
-    settings.engine.most_time = fields.time("most_time", settings.engine.most_time);
+    settings.engine.max_time = fields.time("most_time", settings.engine.max_time);
     settings.engine.deferred_time = fields.time("deferred_time", settings.engine.deferred_time);
     let (tick, margin) = (module.tick, settings.engine.answer_margin);
     fields.require(tick > 0 && tick <= SECOND, "tick must be above zero and at most s(1)");
     fields.require(margin >= 2 * tick, "answer_margin must be two ticks at least, or final answers are late");
     fields.require(
-        settings.engine.deferred_time <= settings.engine.most_time,
+        settings.engine.deferred_time <= settings.engine.max_time,
         "deferred_time is longer than most_time",
     );
     fields.require(settings.name.len() <= 100, "name must have 100 bytes at most");
@@ -133,16 +133,17 @@
 fn read_fleet(fields: &mut Fields, settings: &mut Settings) {
     settings.gateways = fields.count("gateways", 1, (1, 1_000_000)) as u32;
     settings.keep_alive = fields.time("keep_alive", settings.keep_alive);
-    let keywords = [("load", WhenAbsent::Load), ("miss", WhenAbsent::Miss)];
-    settings.when_absent = fields.keyword("when_absent", &keywords).unwrap_or(settings.when_absent);
-    settings.may_order = fields.flag("may_order", settings.may_order);
+    let keywords = [("load", MissPolicy::Load), ("miss", MissPolicy::Miss)];
+    settings.miss_policy = fields.keyword("when_absent", &keywords).unwrap_or(settings.miss_policy);
+    settings.may_prewarm = fields.flag("may_order", settings.may_prewarm);
     settings.may_cancel = fields.flag("may_cancel", settings.may_cancel);
     settings.may_probe = fields.flag("may_probe", settings.may_probe);
-    settings.may_duplicate = fields.flag("may_duplicate", settings.may_duplicate);
-    settings.tells_crowd = fields.flag("tells_crowd", settings.tells_crowd);
-    settings.must_follow = fields.flag("must_follow", settings.must_follow);
-    settings.ask_within = fields.time("ask_within", settings.ask_within);
-    settings.most_instances = fields.count("most_instances", settings.most_instances, (1, 1_000));
+    settings.may_hedge = fields.flag("may_duplicate", settings.may_hedge);
+    settings.reports_in_flight = fields.flag("tells_crowd", settings.reports_in_flight);
+    settings.must_subscribe = fields.flag("must_follow", settings.must_subscribe);
+    settings.list_poll_interval = fields.time("ask_within", settings.list_poll_interval);
+    settings.max_instances_per_order =
+        fields.count("most_instances", settings.max_instances_per_order, (1, 1_000));
     settings.order_timeout = fields.time("order_timeout", settings.order_timeout);
     settings.connect_timeout = fields.time("connect_timeout", settings.connect_timeout);
     settings.drain_grace = fields.time("drain_grace", settings.drain_grace);
@@ -151,7 +152,7 @@
     settings.max_retry_after = fields.time("max_retry_after", settings.max_retry_after);
     settings.over_quota_worth = fields.number("over_quota_worth", settings.over_quota_worth, (0.0, 1.0));
     settings.kind_memory_mb = fields.sizes_in_mb("kind_memory").into_iter().collect();
-    let can_load = settings.when_absent == WhenAbsent::Load || settings.may_order;
+    let can_load = settings.miss_policy == MissPolicy::Load || settings.may_prewarm;
     fields.require(can_load, "when_absent = \"miss\" with may_order = False: nothing would ever be loaded");
     fields.require(settings.keep_alive > 0, "keep_alive must be above zero");
     fields.require(settings.connect_timeout > 0, "connect_timeout must be above zero");
@@ -183,7 +184,7 @@
                     let expected = "a group of \"all\", \"zone\" or \"cell\" is wanted";
                     fields.add_error(location, format!("effect = {value}: {expected}"));
                 }
-                Effect::Keyed { group: group.unwrap_or(Group::Cell), memory: *memory }
+                Effect::Keyed { group: group.unwrap_or(Group::Cell), retention: *memory }
             }
             _ => {
                 let expected = "\"safe\", \"unsafe\" or keyed(group = ..., memory = s(5)) is wanted";
@@ -199,7 +200,15 @@
     fields.require(aim > 0, "aim must be above zero");
     let is_duplicate = settings.classes.iter().any(|class| class.name == name);
     fields.require(!is_duplicate, &format!("a second class with the name {name:?}"));
-    settings.classes.push(Class { name, aim, give_up, effect, streamed, worth, late_worth });
+    settings.classes.push(Class {
+        name,
+        latency_objective: aim,
+        client_timeout: give_up,
+        effect,
+        streamed,
+        worth,
+        late_worth,
+    });
 }
 
 fn read_tenant(fields: &mut Fields, settings: &mut Settings) {
@@ -211,23 +220,23 @@
 }
 
 fn read_cold_start(fields: &mut Fields, settings: &mut Settings) {
-    let cold = &settings.cold;
-    settings.cold = ColdStart {
-        from: fields.number("from_share", cold.from, (0.001, 1.0)),
+    let cold = &settings.cold_start;
+    settings.cold_start = ColdStart {
+        initial_share: fields.number("from_share", cold.initial_share, (0.001, 1.0)),
         warm_up: fields.time("warm_up", cold.warm_up),
-        multiple: fields.number("multiple", cold.multiple, (0.001, 1e6)),
-        window: fields.time("window", cold.window),
+        overload_multiple: fields.number("multiple", cold.overload_multiple, (0.001, 1e6)),
+        overload_window: fields.time("window", cold.overload_window),
     };
 }
 
 fn read_ration(fields: &mut Fields, settings: &mut Settings) {
-    let ration = OrderRation {
+    let ration = OrderRateLimit {
         window: fields.required_time("window"),
-        free: fields.number("free", 0.0, (0.0, 1e9)),
+        base_orders: fields.number("free", 0.0, (0.0, 1e9)),
         per_request: fields.number("per_call", 0.0, (0.0, 1e9)),
     };
     fields.require(ration.window > 0, "window must be above zero");
-    settings.ration = Some(ration);
+    settings.order_rate_limit = Some(ration);
 }
 
 /// Minimum length of the key that authorizes version orders, in bytes.
@@ -351,7 +360,8 @@
     let mut report =
         |kind: &str, message: String| errors.push(SettingsError { location: location_of(kind), message });
     let engine = &settings.engine;
-    let shortest = engine.module.classes.iter().map(|class| class.aim).min().unwrap_or(u64::MAX);
+    let shortest =
+        engine.dispatcher.classes.iter().map(|class| class.latency_objective).min().unwrap_or(u64::MAX);
     if engine.answer_margin * 2 > shortest {
         let shortest = RawValue::Time(shortest);
         let margin = RawValue::Time(engine.answer_margin);
@@ -360,10 +370,10 @@
             format!("answer_margin = {margin} takes over half of the shortest aim, {shortest}"),
         );
     }
-    for class in &engine.module.classes {
-        if class.give_up > engine.most_time {
+    for class in &engine.dispatcher.classes {
+        if class.client_timeout > engine.max_time {
             let (name, give_up, most) =
-                (&class.name, RawValue::Time(class.give_up), RawValue::Time(engine.most_time));
+                (&class.name, RawValue::Time(class.client_timeout), RawValue::Time(engine.max_time));
             report("call_class", format!("{name:?}: give_up = {give_up} is longer than most_time, {most}"));
         }
     }
@@ -376,7 +386,7 @@
     if settings.list.is_empty() && settings.workers.is_empty() {
         report("gateway", "neither a list nor a worker(...): there is nothing to send calls to".into());
     }
-    if let Err(error) = engine.module.check() {
+    if let Err(error) = engine.dispatcher.check() {
         report("gateway", error.to_string());
     }
 }
--- a/crates/settings/tests/faults.rs
+++ b/crates/settings/tests/faults.rs
@@ -44,7 +44,7 @@
     let settings = in_folder(&[("a.star", &script)]).unwrap();
     assert_eq!(settings.engine.admission.open_bytes, 1_572_864);
     assert_eq!(settings.engine.results.keep, 120_000_000);
-    assert_eq!(settings.engine.module.classes[0].aim, 600_000);
+    assert_eq!(settings.engine.dispatcher.classes[0].latency_objective, 600_000);
     assert_eq!(settings.workers[0].id, "127.0.0.1:9");
 }
 
--- a/crates/versions/examples/conductor_cost.rs
+++ b/crates/versions/examples/conductor_cost.rs
@@ -8,7 +8,7 @@
 
 use std::hint::black_box;
 
-use cresswheel_measure::{Series, resident_bytes, thread_time, value_of_child};
+use cresswheel_measure::{Series, resident_bytes, run_child_for_value, thread_cpu_time};
 use cresswheel_versions::{
     Act, Callers, Conductor, End, Guard, Kind, LOOK_EVERY, Plan, Question, Record, Reply, Share, Side,
     Status, Step, Stick, Versions,
@@ -95,9 +95,9 @@
         assert!(acts.iter().all(|act| matches!(act, Act::Renew(_))), "nothing is ordered");
     };
     turn();
-    let began = thread_time();
+    let began = thread_cpu_time();
     (0..5).for_each(|_| turn());
-    (thread_time() - began).as_secs_f64() * 1e6 / 5.0
+    (thread_cpu_time() - began).as_secs_f64() * 1e6 / 5.0
 }
 
 fn with_rollouts(functions: usize) -> Versions {
@@ -118,10 +118,10 @@
         for number in 0..functions {
             versions.answered(&format!("function-{number:05}"), Side::Old, "check", End::InTime, false);
         }
-        let began = thread_time();
+        let began = thread_cpu_time();
         black_box(versions.look(SECOND + round * LOOK_EVERY));
         black_box(versions.expected(SECOND + round * LOOK_EVERY));
-        spent += (thread_time() - began).as_secs_f64() * 1e6;
+        spent += (thread_cpu_time() - began).as_secs_f64() * 1e6;
     }
     spent / 5.0
 }
@@ -130,13 +130,13 @@
 fn choose_us(functions: usize) -> f64 {
     const CALLS: usize = 20_000;
     let versions = with_rollouts(functions);
-    let began = thread_time();
+    let began = thread_cpu_time();
     for number in 0..CALLS {
         let function = format!("function-{:05}", number % functions);
         let callers = Callers { account: "account-7", ..Callers::default() };
         black_box(versions.choose(SECOND, &function, &callers));
     }
-    (thread_time() - began).as_secs_f64() * 1e6 / CALLS as f64
+    (thread_cpu_time() - began).as_secs_f64() * 1e6 / CALLS as f64
 }
 
 fn memory_bytes(functions: usize) -> f64 {
@@ -166,7 +166,7 @@
         looks.add(functions, (0..RUNS).map(|_| look_us(functions)).collect());
         choices.add(functions, (0..RUNS).map(|_| choose_us(functions)).collect());
         let child = [MEMORY_ARGUMENT.to_owned(), functions.to_string()];
-        memory.add(functions, (0..RUNS).map(|_| value_of_child(&child).expect("a child")).collect());
+        memory.add(functions, (0..RUNS).map(|_| run_child_for_value(&child).expect("a child")).collect());
     }
     println!("\n{turns}\n{looks}\n{choices}\n{memory}");
 }
--- a/examples/planned_size.rs
+++ b/examples/planned_size.rs
@@ -106,8 +106,8 @@
     fn settings(&self) -> Settings {
         let class = Class {
             name: "call".into(),
-            aim: self.aim,
-            give_up: 5 * S,
+            latency_objective: self.aim,
+            client_timeout: 5 * S,
             effect: Effect::Safe,
             streamed: false,
             worth: 1.0,
@@ -118,10 +118,15 @@
             tick: TICK,
             classes: vec![class],
             keep_alive: self.keep_alive,
-            may_order: self.orders,
+            may_prewarm: self.orders,
             order_timeout: 10 * S,
             max_attempts: 5,
-            cold: ColdStart { from: 0.2, warm_up: 10 * S, multiple: 2.0, window: 3 * S },
+            cold_start: ColdStart {
+                initial_share: 0.2,
+                warm_up: 10 * S,
+                overload_multiple: 2.0,
+                overload_window: 3 * S,
+            },
             ..Settings::default()
         }
     }
@@ -343,7 +348,7 @@
             function: self.functions[function].clone(),
             time_left: 5 * S,
             memory_mb: Some(500.0 + (function % 97) as f64),
-            lanes: Some(4),
+            concurrency: Some(4),
             load_time: None,
         };
         let cost = self.handle(Kind::Call, Event::Arrived(request));
@@ -360,13 +365,13 @@
     fn change_list(&mut self) {
         let worker = match self.absent_worker.take() {
             Some(worker) => {
-                self.workers[worker].state = WorkerState::In;
+                self.workers[worker].state = WorkerState::InService;
                 self.workers[worker].started = Some(self.now);
                 worker
             }
             None => {
                 let worker = self.rng.next_u32() as usize % self.workers.len();
-                self.workers[worker].state = WorkerState::Out;
+                self.workers[worker].state = WorkerState::OutOfService;
                 self.absent_worker = Some(worker);
                 worker
             }
@@ -374,7 +379,7 @@
         self.loaded_until.retain(|(_, at), _| *at != worker);
         self.list_changes += 1;
         let entry = self.workers[worker].clone();
-        self.handle(Kind::ListChange, Event::List(ListNews::Changes(vec![entry])));
+        self.handle(Kind::ListChange, Event::List(WorkerListUpdate::Changes(vec![entry])));
     }
 
     fn step(&mut self, event: Scheduled) {
@@ -388,25 +393,25 @@
             }
             Scheduled::AttemptEnd { request, worker, sent } => {
                 let Some((_, attempts)) = self.in_flight.remove(&request) else { return };
-                let event = Event::Ended {
+                let event = Event::AttemptEnded {
                     request: RequestId::from(request.to_string().as_str()),
                     attempt: attempts - 1,
                     worker: self.workers[worker].id.clone(),
                     outcome: Outcome::Ok,
                     elapsed: self.now - sent,
                     answered: true,
-                    crowd: None,
+                    worker_in_flight: None,
                     load_failed: false,
                 };
                 self.handle(Kind::AttemptEnd, event);
             }
             Scheduled::OrderAnswer { function, worker, sent, loaded } => {
-                let event = Event::Held {
+                let event = Event::PrewarmEnded {
                     worker: self.workers[worker].id.clone(),
                     function: self.functions[function].clone(),
                     outcome: if loaded { Outcome::Ok } else { Outcome::Full },
                     elapsed: self.now - sent,
-                    standing: u32::from(loaded),
+                    loaded_instances: u32::from(loaded),
                 };
                 self.handle(Kind::OrderAnswer, event);
             }
@@ -421,7 +426,7 @@
     /// Runs to the end. Returns the cost of the first list, which builds all tables, separately.
     fn run(&mut self) -> u64 {
         let first_list_cost =
-            self.handle(Kind::ListChange, Event::List(ListNews::Whole(self.workers.clone())));
+            self.handle(Kind::ListChange, Event::List(WorkerListUpdate::Complete(self.workers.clone())));
         self.schedule_after(TICK, Scheduled::Call);
         self.schedule_after(self.options.change_every, Scheduled::ListChange);
         let end = self.options.seconds * S;
@@ -441,7 +446,7 @@
         zone: format!("zone-{}", number % 5),
         kind: "std".into(),
         cell: number as u64 % 40,
-        state: WorkerState::In,
+        state: WorkerState::InService,
         started: None,
     }
 }
--- a/src/bin/cresswheel-simhost/wire.rs
+++ b/src/bin/cresswheel-simhost/wire.rs
@@ -5,13 +5,14 @@
 use std::str::FromStr;
 
 use cresswheel::{
-    Action, Event, ListNews, Outcome, PairError, Pairs, Request, Settings, WorkerEntry, WorkerState,
+    Action, Event, Outcome, Request, SettingPairError, SettingPairs, Settings, WorkerEntry, WorkerListUpdate,
+    WorkerState,
 };
 
 /// One line: its name and its `key=value` fields, in any order.
 pub struct Line<'a> {
     pub name: &'a str,
-    fields: Pairs<'a>,
+    fields: SettingPairs<'a>,
 }
 
 impl<'a> Line<'a> {
@@ -22,7 +23,7 @@
     }
 
     /// Adds the name of the line to an error.
-    fn with_name<T>(&self, result: Result<T, PairError>) -> Result<T, String> {
+    fn with_name<T>(&self, result: Result<T, SettingPairError>) -> Result<T, String> {
         result.map_err(|error| format!("{}: {error}", self.name))
     }
 
@@ -78,9 +79,9 @@
         kind: line.get("kind").unwrap_or("").into(),
         cell: line.or("cluster", 0)?,
         state: match line.text("condition")? {
-            "IN" => WorkerState::In,
+            "IN" => WorkerState::InService,
             "LAME" => WorkerState::Draining,
-            _ => WorkerState::Out,
+            _ => WorkerState::OutOfService,
         },
         started: line.optional("born")?.filter(|time| *time > 0),
     })
@@ -102,25 +103,25 @@
             function: line.text("callee")?.into(),
             time_left: line.number("time_left")?,
             memory_mb: line.optional("footprint_mb")?,
-            lanes: line.optional::<f64>("at_once")?.map(|lanes| lanes as u32),
+            concurrency: line.optional::<f64>("at_once")?.map(|lanes| lanes as u32),
             load_time: line.optional::<f64>("cold_ms")?.map(|ms| (ms * 1e3) as u64),
         }),
         "REPORT_BACK" => {
             let outcome = outcome(line)?;
             let detail: u32 = line.or("detail", 0)?;
-            Event::Ended {
+            Event::AttemptEnded {
                 request: request()?,
                 attempt: line.number("round_no")? as usize,
                 worker: line.text("host")?.into(),
                 outcome,
                 elapsed: line.number("elapsed")?,
                 answered: line.flag("done_flag"),
-                crowd: Some(detail / 8),
+                worker_in_flight: Some(detail / 8),
                 load_failed: matches!(outcome, Outcome::Error | Outcome::Miss) && detail & 4 != 0,
             }
         }
-        "BEGUN" => Event::Begun { request: request()?, attempt: line.number("round_no")? as usize },
-        "VANISHED" => Event::Gone(request()?),
+        "BEGUN" => Event::StreamStarted { request: request()?, attempt: line.number("round_no")? as usize },
+        "VANISHED" => Event::ClientLeft(request()?),
         "DISCOVERY" => {
             let entries = || {
                 let number = line.number("ref")?;
@@ -130,17 +131,17 @@
                     .ok_or_else(|| format!("DISCOVERY: ref names no list: {number}"))
             };
             Event::List(match line.text("mode")? {
-                "lost" => ListNews::Lost,
-                "incr" => ListNews::Changes(entries()?),
-                _ => ListNews::Whole(entries()?),
+                "lost" => WorkerListUpdate::Unavailable,
+                "incr" => WorkerListUpdate::Changes(entries()?),
+                _ => WorkerListUpdate::Complete(entries()?),
             })
         }
-        "IN_PLACE" => Event::Held {
+        "IN_PLACE" => Event::PrewarmEnded {
             worker: line.text("host")?.into(),
             function: line.text("callee")?.into(),
             outcome: outcome(line)?,
             elapsed: line.number("elapsed")?,
-            standing: line.or("count", 0)?,
+            loaded_instances: line.or("count", 0)?,
         },
         "HEALTH_RESULT" => Event::Probed { worker: line.text("host")?.into(), outcome: outcome(line)? },
         "DUE" => Event::Wake,
@@ -157,7 +158,7 @@
         4 => Outcome::ConnectFailed,
         5 => Outcome::Reset,
         6 => Outcome::Cancelled,
-        7 => Outcome::Moot,
+        7 => Outcome::NotSent,
         8 => Outcome::Miss,
         other => return Err(format!("{}: bad result: {other}", line.name)),
     })
