--- a/src/interface.rs
+++ b/src/interface.rs
@@ -49,7 +49,7 @@
         /// The workers that share the deduplication records.
         group: Group,
         /// How long a record is kept, from the first attempt that may have run.
-        memory: Micros,
+        retention: Micros,
     },
     /// It must not run more than once.
     Unsafe,
@@ -72,9 +72,9 @@
     /// Its name.
     pub name: String,
     /// Latency objective: an answer within this time earns the full [`worth`](Self::worth).
-    pub aim: Micros,
+    pub latency_objective: Micros,
     /// Client timeout: how long a client waits for the answer.
-    pub give_up: Micros,
+    pub client_timeout: Micros,
     /// Whether a request may be executed more than once.
     pub effect: Effect,
     /// Whether the answer is a stream.
@@ -96,7 +96,7 @@
 
 /// What a worker does with a call of a function that is not loaded there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WhenAbsent {
+pub enum MissPolicy {
     /// It loads the function while the call waits.
     Load,
     /// It answers [`Outcome::Miss`]; only a prewarm order ([`Action::Hold`]) loads the function.
@@ -105,11 +105,11 @@
 
 /// The rate limit on prewarm orders, over a sliding window.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct OrderRation {
+pub struct OrderRateLimit {
     /// Length of the window.
     pub window: Micros,
     /// Orders allowed in a window regardless of the traffic.
-    pub free: f64,
+    pub base_orders: f64,
     /// Further orders allowed for each request that was accepted in the window.
     pub per_request: f64,
 }
@@ -118,13 +118,13 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdStart {
     /// Fraction of its capacity that it has at least when it starts.
-    pub from: f64,
+    pub initial_share: f64,
     /// Time after which it has its full capacity at the latest.
     pub warm_up: Micros,
     /// Work above this multiple of its current capacity ...
-    pub multiple: f64,
+    pub overload_multiple: f64,
     /// ... for this long makes its process collapse.
-    pub window: Micros,
+    pub overload_window: Micros,
 }
 
 /// The configuration of a [`Dispatcher`](crate::Dispatcher). [`Settings::default`] has the values of absent
@@ -144,21 +144,21 @@
     /// Fraction of the value that requests above a tenant's quota keep.
     pub over_quota_worth: f64,
     /// Whether changes of the worker list must be subscribed to ([`Action::Follow`]).
-    pub must_follow: bool,
+    pub must_subscribe: bool,
     /// Longest time between two requests for the worker list where there is no subscription.
-    pub ask_within: Micros,
+    pub list_poll_interval: Micros,
     /// How long an idle instance stays loaded at least.
     pub keep_alive: Micros,
     /// What a worker does with a call of a function that is not loaded there.
-    pub when_absent: WhenAbsent,
+    pub miss_policy: MissPolicy,
     /// Whether prewarm and unload orders ([`Action::Hold`], [`Action::Drop`]) are allowed.
-    pub may_order: bool,
+    pub may_prewarm: bool,
     /// Whether answers report how many requests for the same function the worker had in flight.
-    pub tells_crowd: bool,
+    pub reports_in_flight: bool,
     /// Rate limit on prewarm orders, if there is one.
-    pub ration: Option<OrderRation>,
+    pub order_rate_limit: Option<OrderRateLimit>,
     /// Most instances that one prewarm order may request.
-    pub most_instances: usize,
+    pub max_instances_per_order: usize,
     /// A prewarm order without an answer for this long ends with [`Outcome::Timeout`].
     pub order_timeout: Micros,
     /// Whether attempts may be canceled.
@@ -166,7 +166,7 @@
     /// Whether workers may be probed.
     pub may_probe: bool,
     /// Whether a request may have two attempts in flight.
-    pub may_duplicate: bool,
+    pub may_hedge: bool,
     /// Most attempts per request.
     pub max_attempts: usize,
     /// Whether a refusal may state a retry delay.
@@ -178,7 +178,7 @@
     /// How long new work may still be sent to a worker that drains or has left; the module sends none.
     pub drain_grace: Micros,
     /// Slow start of workers that have just started.
-    pub cold: ColdStart,
+    pub cold_start: ColdStart,
     /// Memory of each kind of worker in MB, where known.
     pub kind_memory_mb: BTreeMap<String, f64>,
 }
@@ -193,24 +193,29 @@
             classes: Vec::new(),
             tenants: Vec::new(),
             over_quota_worth: 1.0,
-            must_follow: false,
-            ask_within: 0,
+            must_subscribe: false,
+            list_poll_interval: 0,
             keep_alive: 0,
-            when_absent: WhenAbsent::Load,
-            may_order: false,
-            tells_crowd: false,
-            ration: None,
-            most_instances: 16,
+            miss_policy: MissPolicy::Load,
+            may_prewarm: false,
+            reports_in_flight: false,
+            order_rate_limit: None,
+            max_instances_per_order: 16,
             order_timeout: 0,
             may_cancel: false,
             may_probe: false,
-            may_duplicate: false,
+            may_hedge: false,
             max_attempts: 1,
             retry_after: false,
             max_retry_after: 0,
             connect_timeout: 0,
             drain_grace: 0,
-            cold: ColdStart { from: 1.0, warm_up: 0, multiple: 1.0, window: 0 },
+            cold_start: ColdStart {
+                initial_share: 1.0,
+                warm_up: 0,
+                overload_multiple: 1.0,
+                overload_window: 0,
+            },
             kind_memory_mb: BTreeMap::new(),
         }
     }
@@ -226,8 +231,8 @@
         require(self.tick > 0, "tick")?;
         require(self.gateways > 0, "gateways")?;
         require(self.max_attempts > 0, "max_attempts")?;
-        require(self.classes.iter().all(|c| c.aim > 0), "aim")?;
-        require(self.cold.multiple > 0.0 && self.cold.from > 0.0, "cold")
+        require(self.classes.iter().all(|c| c.latency_objective > 0), "aim")?;
+        require(self.cold_start.overload_multiple > 0.0 && self.cold_start.initial_share > 0.0, "cold")
     }
 }
 
@@ -258,7 +263,7 @@
     /// Memory of one instance of the function in MB, if known.
     pub memory_mb: Option<f64>,
     /// Concurrency of one instance: how many requests it runs at a time, if known.
-    pub lanes: Option<u32>,
+    pub concurrency: Option<u32>,
     /// Typical load time of the function, if known.
     pub load_time: Option<Micros>,
 }
@@ -281,7 +286,7 @@
     /// Canceled; it may have run.
     Cancelled,
     /// Not sent; it never ran.
-    Moot,
+    NotSent,
     /// The function is not loaded at the worker; it never ran.
     Miss,
 }
@@ -289,7 +294,7 @@
 impl Outcome {
     /// Whether an attempt with this outcome certainly never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Self::Full | Self::ConnectFailed | Self::Moot | Self::Miss)
+        matches!(self, Self::Full | Self::ConnectFailed | Self::NotSent | Self::Miss)
     }
 }
 
@@ -314,23 +319,23 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WorkerState {
     /// In service.
-    In,
+    InService,
     /// It finishes the work in flight and takes no more.
     Draining,
     /// Out of service, or not listed.
     #[default]
-    Out,
+    OutOfService,
 }
 
 /// An update of the worker list.
 #[derive(Clone, Debug, PartialEq)]
-pub enum ListNews {
+pub enum WorkerListUpdate {
     /// The complete list; workers that are not in it are out of service.
-    Whole(Vec<WorkerEntry>),
+    Complete(Vec<WorkerEntry>),
     /// The changed entries only.
     Changes(Vec<WorkerEntry>),
     /// Fetching the list failed or the subscription broke; the last known list stays in use.
-    Lost,
+    Unavailable,
 }
 
 /// An input of the decision module.
@@ -339,7 +344,7 @@
     /// A client's request arrived.
     Arrived(Request),
     /// An attempt ended.
-    Ended {
+    AttemptEnded {
         /// The request.
         request: RequestId,
         /// The attempt, numbered from 0 in the order of sending.
@@ -353,23 +358,23 @@
         /// Whether the client has received its final answer.
         answered: bool,
         /// Requests for the same function that the worker had in flight when this one arrived, if reported.
-        crowd: Option<u32>,
+        worker_in_flight: Option<u32>,
         /// Whether it ended because the worker failed to load the function.
         load_failed: bool,
     },
     /// A streamed answer has begun.
-    Begun {
+    StreamStarted {
         /// The request.
         request: RequestId,
         /// The attempt that streams.
         attempt: usize,
     },
     /// The client no longer waits for its answer; the request is over.
-    Gone(RequestId),
+    ClientLeft(RequestId),
     /// The worker list was updated.
-    List(ListNews),
+    List(WorkerListUpdate),
     /// A prewarm order ([`Action::Hold`]) ended.
-    Held {
+    PrewarmEnded {
         /// The worker.
         worker: WorkerId,
         /// The function.
@@ -379,7 +384,7 @@
         /// Time since the order.
         elapsed: Micros,
         /// Instances of the function that are loaded there.
-        standing: u32,
+        loaded_instances: u32,
     },
     /// A probe ended.
     Probed {
@@ -389,11 +394,11 @@
         outcome: Outcome,
     },
     /// Calls of another function will move to this one, which is to stay loaded until then.
-    Expected {
+    CallsExpected {
         /// The function.
         function: FunctionId,
         /// The function whose calls it will get; the same traffic and resources are assumed for it.
-        like: FunctionId,
+        similar_to: FunctionId,
         /// Time from now until when the calls may come.
         within: Micros,
     },
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -58,6 +58,6 @@
 mod wanted;
 
 pub use interface::*;
-pub use pairs::{PairError, Pairs};
+pub use pairs::{SettingPairError, SettingPairs};
 pub use rules::Dispatcher;
-pub use tally::Tally;
+pub use tally::DispatcherStats;
--- a/src/pairs.rs
+++ b/src/pairs.rs
@@ -9,11 +9,11 @@
 
 /// Settings by path, such as `limits.max_attempts`, with their values as text.
 #[derive(Clone, Debug, Default)]
-pub struct Pairs<'a>(BTreeMap<Cow<'a, str>, Cow<'a, str>>);
+pub struct SettingPairs<'a>(BTreeMap<Cow<'a, str>, Cow<'a, str>>);
 
 /// A setting that is missing or has an invalid value.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum PairError {
+pub enum SettingPairError {
     /// A required setting is missing.
     #[error("no {0}")]
     Absent(String),
@@ -27,36 +27,36 @@
     },
 }
 
-impl<'a, K: Into<Cow<'a, str>>, V: Into<Cow<'a, str>>> FromIterator<(K, V)> for Pairs<'a> {
+impl<'a, K: Into<Cow<'a, str>>, V: Into<Cow<'a, str>>> FromIterator<(K, V)> for SettingPairs<'a> {
     fn from_iter<I: IntoIterator<Item = (K, V)>>(pairs: I) -> Self {
         Self(pairs.into_iter().map(|(path, text)| (path.into(), text.into())).collect())
     }
 }
 
-impl Pairs<'_> {
+impl SettingPairs<'_> {
     /// The value at a path, if there is one.
     pub fn get(&self, path: &str) -> Option<&str> {
         self.0.get(path).map(|text| &**text)
     }
 
     /// The value at a required path.
-    pub fn text(&self, path: &str) -> Result<&str, PairError> {
-        self.get(path).ok_or_else(|| PairError::Absent(path.into()))
+    pub fn text(&self, path: &str) -> Result<&str, SettingPairError> {
+        self.get(path).ok_or_else(|| SettingPairError::Absent(path.into()))
     }
 
     /// The number at a required path.
-    pub fn number(&self, path: &str) -> Result<u64, PairError> {
-        self.optional(path)?.ok_or_else(|| PairError::Absent(path.into()))
+    pub fn number(&self, path: &str) -> Result<u64, SettingPairError> {
+        self.optional(path)?.ok_or_else(|| SettingPairError::Absent(path.into()))
     }
 
     /// The parsed value at a path, if there is one.
-    pub fn optional<T: FromStr>(&self, path: &str) -> Result<Option<T>, PairError> {
-        let invalid = |text: &str| PairError::Bad { path: path.into(), text: text.into() };
+    pub fn optional<T: FromStr>(&self, path: &str) -> Result<Option<T>, SettingPairError> {
+        let invalid = |text: &str| SettingPairError::Bad { path: path.into(), text: text.into() };
         self.get(path).map(|text| text.parse().map_err(|_| invalid(text))).transpose()
     }
 
     /// The parsed value at a path, or a default if there is none.
-    pub fn or<T: FromStr>(&self, path: &str, default: T) -> Result<T, PairError> {
+    pub fn or<T: FromStr>(&self, path: &str, default: T) -> Result<T, SettingPairError> {
         Ok(self.optional(path)?.unwrap_or(default))
     }
 
@@ -71,7 +71,7 @@
     }
 
     /// The settings of the decision module.
-    pub fn settings(&self) -> Result<Settings, PairError> {
+    pub fn settings(&self) -> Result<Settings, SettingPairError> {
         let defaults = Settings::default();
         let mut classes = Vec::new();
         for at in 0..self.or("profiles.count", 0)? {
@@ -83,11 +83,11 @@
             };
             classes.push(Class {
                 name: self.text(&key("name"))?.into(),
-                aim: self.number(&key("aim"))?,
-                give_up: self.number(&key("give_up"))?,
+                latency_objective: self.number(&key("aim"))?,
+                client_timeout: self.number(&key("give_up"))?,
                 effect: match self.text(&key("semantics"))? {
                     "idempotent" => Effect::Safe,
-                    "deduplicated" => Effect::Keyed { group, memory: self.or(&key("memory_span"), 0)? },
+                    "deduplicated" => Effect::Keyed { group, retention: self.or(&key("memory_span"), 0)? },
                     _ => Effect::Unsafe,
                 },
                 streamed: self.flag(&key("streamed")),
@@ -103,9 +103,9 @@
             });
         }
         let window = self.or("specifics.load_span", 0)?;
-        let order_limit = OrderRation {
+        let order_limit = OrderRateLimit {
             window,
-            free: self.or("specifics.loads_anyway", 0.0)?,
+            base_orders: self.or("specifics.loads_anyway", 0.0)?,
             per_request: self.or("specifics.loads_per_request", 0.0)?,
         };
         let memory_mb = self.list("specifics.kind_memory_mb").into_iter();
@@ -117,31 +117,31 @@
             classes,
             tenants,
             over_quota_worth: self.or("over_share_worth", defaults.over_quota_worth)?,
-            must_follow: self.get("discovery") == Some("subscribe"),
-            ask_within: self.or("rules.ask_within", defaults.ask_within)?,
+            must_subscribe: self.get("discovery") == Some("subscribe"),
+            list_poll_interval: self.or("rules.ask_within", defaults.list_poll_interval)?,
             keep_alive: self.or("specifics.keep_alive", defaults.keep_alive)?,
-            when_absent: match self.get("specifics.when_absent") {
-                Some("miss") => WhenAbsent::Miss,
-                _ => WhenAbsent::Load,
+            miss_policy: match self.get("specifics.when_absent") {
+                Some("miss") => MissPolicy::Miss,
+                _ => MissPolicy::Load,
             },
-            may_order: self.flag("specifics.may_load"),
-            tells_crowd: self.flag("specifics.counts_alike"),
-            ration: (window > 0).then_some(order_limit),
-            most_instances: defaults.most_instances,
+            may_prewarm: self.flag("specifics.may_load"),
+            reports_in_flight: self.flag("specifics.counts_alike"),
+            order_rate_limit: (window > 0).then_some(order_limit),
+            max_instances_per_order: defaults.max_instances_per_order,
             order_timeout: self.or("specifics.load_wait", defaults.order_timeout)?,
             may_cancel: self.flag("limits.cancel"),
             may_probe: self.flag("limits.probes"),
-            may_duplicate: self.flag("limits.may_duplicate"),
+            may_hedge: self.flag("limits.may_duplicate"),
             max_attempts: self.or("limits.max_attempts", defaults.max_attempts)?,
             retry_after: self.flag("limits.retry_after"),
             max_retry_after: self.or("limits.max_retry_after", defaults.max_retry_after)?,
             connect_timeout: self.or("limits.connect_timeout", defaults.connect_timeout)?,
             drain_grace: self.or("rules.drain_grace", defaults.drain_grace)?,
-            cold: ColdStart {
-                from: self.or("rules.cold_from", defaults.cold.from)?,
-                warm_up: self.or("rules.warm_up", defaults.cold.warm_up)?,
-                multiple: self.or("rules.tip_multiple", defaults.cold.multiple)?,
-                window: self.or("rules.fall", defaults.cold.window)?,
+            cold_start: ColdStart {
+                initial_share: self.or("rules.cold_from", defaults.cold_start.initial_share)?,
+                warm_up: self.or("rules.warm_up", defaults.cold_start.warm_up)?,
+                overload_multiple: self.or("rules.tip_multiple", defaults.cold_start.overload_multiple)?,
+                overload_window: self.or("rules.fall", defaults.cold_start.overload_window)?,
             },
             kind_memory_mb: self.list("kinds").into_iter().map(String::from).zip(memory_mb).collect(),
         })
--- a/src/ring.rs
+++ b/src/ring.rs
@@ -27,7 +27,9 @@
         changed.iter().for_each(|worker| removed[*worker] = true);
         self.points.retain(|(_, worker)| !removed[*worker]);
         let mut added = Vec::new();
-        for worker in changed.iter().filter(|worker| workers[**worker].list_entry.state == WorkerState::In) {
+        for worker in
+            changed.iter().filter(|worker| workers[**worker].list_entry.state == WorkerState::InService)
+        {
             let name = workers[*worker].list_entry.id.0.as_bytes();
             added.extend((0..self.points_per_worker).map(|point| (xxh3_64_with_seed(name, point), *worker)));
         }
--- a/src/rules.rs
+++ b/src/rules.rs
@@ -147,13 +147,13 @@
     fn capacity_share(&self, cold: &ColdStart, at: Micros) -> f64 {
         let warm_at = self.list_entry.started.map_or(0, |start| start.saturating_add(cold.warm_up));
         let remaining = warm_at.saturating_sub(at).min(cold.warm_up) as f64 / cold.warm_up.max(1) as f64;
-        1.0 - (1.0 - cold.from) * remaining
+        1.0 - (1.0 - cold.initial_share) * remaining
     }
 
     /// The number of the current half window since its start became known. The first one is shortened at
     /// random, so that the gateways are out of phase.
     fn half_window(&self, cold: &ColdStart, now: Micros) -> u64 {
-        let length = (cold.window / 2).max(1);
+        let length = (cold.overload_window / 2).max(1);
         (now.saturating_sub(self.slow_start.since) + self.slow_start.seed % length) / length
     }
 }
@@ -194,7 +194,7 @@
     /// A gateway that knows only its settings. `seed` feeds a PCG-32 generator for random draws and ties.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
-        let min_objective = settings.classes.iter().map(|class| class.aim).min().unwrap_or(1);
+        let min_objective = settings.classes.iter().map(|class| class.latency_objective).min().unwrap_or(1);
         Ok(Self {
             rng: Pcg32::new(seed, 0x0a02_bdbf_7bb3_c0a7),
             min_objective,
@@ -227,24 +227,35 @@
         if self.timers.is_empty() {
             self.refreshed_at = self.now;
             self.timers.insert((now, Timer::Sweep));
-            self.actions.extend(self.settings.must_follow.then_some(Action::Follow));
+            self.actions.extend(self.settings.must_subscribe.then_some(Action::Follow));
         }
         match event {
             Event::Arrived(request) => self.request_arrived(request),
-            Event::Ended { request, attempt, outcome, elapsed, answered, crowd, load_failed, .. } => {
-                let worker_load = crowd.filter(|_| self.settings.tells_crowd);
+            Event::AttemptEnded {
+                request,
+                attempt,
+                outcome,
+                elapsed,
+                answered,
+                worker_in_flight: crowd,
+                load_failed,
+                ..
+            } => {
+                let worker_load = crowd.filter(|_| self.settings.reports_in_flight);
                 self.attempt_ended(&request, attempt, outcome, elapsed, (answered, worker_load, load_failed));
             }
-            Event::Begun { request, .. } => {
+            Event::StreamStarted { request, .. } => {
                 self.requests.entry(request).and_modify(|record| record.streaming = true);
             }
-            Event::Gone(request) => self.finish(&request),
+            Event::ClientLeft(request) => self.finish(&request),
             Event::List(news) => self.update_worker_list(news),
-            Event::Held { worker, function, outcome, elapsed, standing } => {
+            Event::PrewarmEnded { worker, function, outcome, elapsed, loaded_instances: standing } => {
                 self.load_ended(&worker, &function, outcome, elapsed, standing);
             }
             Event::Probed { .. } => {}
-            Event::Expected { function, like, within } => self.calls_expected(function, &like, within),
+            Event::CallsExpected { function, similar_to: like, within } => {
+                self.calls_expected(function, &like, within)
+            }
             Event::Wake => self.wake_at = self.wake_at.filter(|at| *at > self.now),
         }
         while let Some((_, timer)) = self.timers.first().filter(|(at, _)| *at <= self.now).cloned() {
@@ -269,27 +280,27 @@
         f64::from(self.rng.next_u32()) / (f64::from(u32::MAX) + 1.0)
     }
 
-    fn update_worker_list(&mut self, news: ListNews) {
+    fn update_worker_list(&mut self, news: WorkerListUpdate) {
         let mut changed = BTreeSet::new();
         let entries = match news {
-            ListNews::Lost => {
-                if self.settings.must_follow {
+            WorkerListUpdate::Unavailable => {
+                if self.settings.must_subscribe {
                     self.timers.insert((
-                        self.now + self.settings.ask_within / 8 + self.min_objective,
+                        self.now + self.settings.list_poll_interval / 8 + self.min_objective,
                         Timer::SubscribeToList,
                     ));
                 }
                 return;
             }
-            ListNews::Whole(entries) => {
+            WorkerListUpdate::Complete(entries) => {
                 let listed: BTreeSet<_> = entries.iter().map(|entry| &entry.id).collect();
                 for (_, worker) in self.worker_indices.iter().filter(|(id, _)| !listed.contains(id)) {
-                    self.workers[*worker].list_entry.state = WorkerState::Out;
+                    self.workers[*worker].list_entry.state = WorkerState::OutOfService;
                     changed.insert(*worker);
                 }
                 entries
             }
-            ListNews::Changes(entries) => entries,
+            WorkerListUpdate::Changes(entries) => entries,
         };
         for entry in entries {
             let free_index = self.free_worker_indices.last().copied().unwrap_or(self.workers.len());
@@ -332,10 +343,10 @@
     fn update_fleet(&mut self) {
         self.fleet = Fleet::default();
         let (mut healthy, mut busy) = (0.0, 0.0);
-        for worker in self.workers.iter().filter(|worker| worker.list_entry.state == WorkerState::In) {
+        for worker in self.workers.iter().filter(|worker| worker.list_entry.state == WorkerState::InService) {
             self.fleet.in_service += 1.0;
             self.fleet.warmed_up +=
-                f64::from(u8::from(worker.capacity_share(&self.settings.cold, self.now) >= 1.0));
+                f64::from(u8::from(worker.capacity_share(&self.settings.cold_start, self.now) >= 1.0));
             busy += f64::from(u8::from(
                 worker.mean_response_time > self.min_objective as f64 * TARGET_RESPONSE_SHARE,
             ));
@@ -359,7 +370,7 @@
         self.orders.prewarms.function_changing(index, function.forecast.release_at);
         function.forecast.record_arrival(self.now);
         function.last_call_at = self.now;
-        function.concurrency = f64::from(request.lanes.unwrap_or(1).max(1));
+        function.concurrency = f64::from(request.concurrency.unwrap_or(1).max(1));
         function.memory_mb = request.memory_mb.unwrap_or(0.0);
         if let (Some(load_time), true) = (request.load_time, function.mean_load_time <= 0.0) {
             function.mean_load_time = load_time as f64;
@@ -434,7 +445,7 @@
                     .is_some_and(|placement| placement.ordered_at.is_some())
             };
             let referenced = workers_in_use.contains(index) || self.orders.prewarms.has_worker(*index);
-            let gone = worker.list_entry.state == WorkerState::Out && silent && !referenced;
+            let gone = worker.list_entry.state == WorkerState::OutOfService && silent && !referenced;
             gone && !worker.functions.iter().any(ordered)
         };
         for index in self.worker_indices.values().copied().filter(unused).collect::<Vec<_>>() {
@@ -483,7 +494,7 @@
         if record.attempts.len() >= self.settings.max_attempts || !self.may_send_again(record) {
             return self.refuse_or_fail(id);
         }
-        let orders_loads = self.settings.when_absent == WhenAbsent::Miss && self.settings.may_order;
+        let orders_loads = self.settings.miss_policy == MissPolicy::Miss && self.settings.may_prewarm;
         // Where no order can be sent, an instance may still be loaded: the request itself is sent. The same
         // holds where peers may keep an instance loaded: a miss is answered quickly and proves that nothing
         // ran.
@@ -623,7 +634,8 @@
     /// All gateways compute the same number, and a worker keeps the largest number ordered, not the sum.
     fn instances_per_home(&self, function: FunctionIndex) -> u32 {
         let workers = (self.fleet.in_service as usize).max(1);
-        self.home_count(function).div_ceil(workers).clamp(1, self.settings.most_instances.max(1)) as u32
+        self.home_count(function).div_ceil(workers).clamp(1, self.settings.max_instances_per_order.max(1))
+            as u32
     }
 
     /// Orders the missing instances of a home if our requests use all the concurrency there.
@@ -707,8 +719,8 @@
     /// however often the budget is computed; the unused rest expires.
     fn slow_start_budget(&self, index: WorkerIndex) -> f64 {
         let (cold, worker, slow_start) =
-            (&self.settings.cold, &self.workers[index], &self.workers[index].slow_start);
-        let share = worker.capacity_share(cold, self.now.saturating_sub(cold.window));
+            (&self.settings.cold_start, &self.workers[index], &self.workers[index].slow_start);
+        let share = worker.capacity_share(cold, self.now.saturating_sub(cold.overload_window));
         if share >= 1.0 {
             return 1.0;
         }
@@ -716,13 +728,14 @@
         let one_core_rate = 1.0
             / self.means.run_time.max(self.min_objective as f64 / 8.0)
             / f64::from(self.settings.gateways);
-        let rate = COLD_LOAD_SHARE * cold.multiple * share * self.means.warm_worker_rate.max(one_core_rate);
+        let rate =
+            COLD_LOAD_SHARE * cold.overload_multiple * share * self.means.warm_worker_rate.max(one_core_rate);
         let random_draw =
             xxh3_64_with_seed(&half_window.to_le_bytes(), slow_start.seed) as f64 / u64::MAX as f64;
         if half_window == slow_start.half_window {
             slow_start.remaining
         } else {
-            (rate * cold.window as f64 / 2.0 + random_draw).floor()
+            (rate * cold.overload_window as f64 / 2.0 + random_draw).floor()
         }
     }
 
@@ -742,7 +755,7 @@
         let allowed = self.may_send_again(record)
             && record.attempts.len() < self.settings.max_attempts
             && !record.has_attempt_in_flight()
-            && self.workers[index].list_entry.state == WorkerState::In
+            && self.workers[index].list_entry.state == WorkerState::InService
             && time_left > 0
             && self.repeats_are_dropped(record, effect, index)
             && self.slow_start_budget(index) >= 1.0;
@@ -753,9 +766,9 @@
             (self.believed_loaded(function, index), self.known_loaded(function, index));
         let load_time =
             if believed_loaded { 0.0 } else { self.expected_load_time(&self.functions[function]) };
-        let capacity_share = self.workers[index].capacity_share(&self.settings.cold, self.now);
+        let capacity_share = self.workers[index].capacity_share(&self.settings.cold_start, self.now);
         let expected_time = (self.expected_run_time(function, class) + load_time) / capacity_share;
-        let objective = self.settings.classes.get(class).map_or(time_left, |class| class.aim);
+        let objective = self.settings.classes.get(class).map_or(time_left, |class| class.latency_objective);
         let repeatable = effect != Effect::Unsafe && record.attempts.len() + 1 < self.settings.max_attempts;
         let timeout = ((TIMEOUT_MULTIPLE * expected_time) as Micros).max(objective * 2);
         let timeout =
@@ -764,7 +777,7 @@
         let (home_count, remaining) = (self.home_count(function) as f64, self.slow_start_budget(index) - 1.0);
         let worker = &mut self.workers[index];
         (worker.slow_start.half_window, worker.slow_start.remaining) =
-            (worker.half_window(&self.settings.cold, self.now), remaining);
+            (worker.half_window(&self.settings.cold_start, self.now), remaining);
         worker.in_flight += 1;
         worker.functions.insert(function);
         self.functions[function].placements.entry(index).or_default().in_flight += 1;
@@ -786,7 +799,7 @@
     /// Whether a repeat at the worker would be dropped: a keyed request that may have run stays within the
     /// group of workers that remember its key, for as long as they do.
     fn repeats_are_dropped(&self, record: &RequestRecord, effect: Effect, to: WorkerIndex) -> bool {
-        let Effect::Keyed { group, memory } = effect else { return true };
+        let Effect::Keyed { group, retention: memory } = effect else { return true };
         let to = &self.workers[to].list_entry;
         record.attempts.iter().filter(|attempt| attempt.state != AttemptState::NeverRan).all(|attempt| {
             let from = &self.workers[attempt.worker].list_entry;
@@ -816,11 +829,11 @@
         attempt.state = if outcome.never_ran() { AttemptState::NeverRan } else { AttemptState::MayHaveRun };
         // The next attempt goes to another worker if this one failed or was not sent; after a load or a miss
         // it need not.
-        let failed = matches!(outcome, Outcome::Error | Outcome::ConnectFailed | Outcome::Moot);
+        let failed = matches!(outcome, Outcome::Error | Outcome::ConnectFailed | Outcome::NotSent);
         attempt.avoid_worker = failed || (attempt.believed_loaded && outcome != Outcome::Miss);
         let attempt = attempt.clone();
         let (function_index, class, worker_index) = (record.function, record.request.class, attempt.worker);
-        if outcome == Outcome::Ok && !record.finished && self.settings.ration.is_some() {
+        if outcome == Outcome::Ok && !record.finished && self.settings.order_rate_limit.is_some() {
             // Only served calls raise the order budget: nothing states that calls count which their clients
             // cancel at once, and there may be floods of those.
             let at = self.orders.call_times.partition_point(|arrived_at| *arrived_at <= record.arrived_at);
@@ -853,7 +866,7 @@
                 worker.last_success_at = self.now;
                 worker.health.get_mut(class).into_iter().for_each(|health| health.record_success(self.now));
                 self.means.warm_successes +=
-                    f64::from(u8::from(worker.capacity_share(&self.settings.cold, self.now) >= 1.0));
+                    f64::from(u8::from(worker.capacity_share(&self.settings.cold_start, self.now) >= 1.0));
                 if attempt.believed_loaded {
                     // The longer ago the last sample, the more outdated is the mean.
                     let weight = MEAN_WEIGHT
@@ -869,7 +882,7 @@
                     // Where workers load on a call, response times may include a load. Slow ones count only
                     // until an instance that was known to be loaded has shown the run time.
                     let function = &mut self.functions[function_index];
-                    let loads_on_call = self.settings.when_absent == WhenAbsent::Load;
+                    let loads_on_call = self.settings.miss_policy == MissPolicy::Load;
                     if loads_on_call
                         && attempt.known_loaded
                         && !std::mem::replace(&mut function.run_time_confirmed, true)
@@ -1010,7 +1023,7 @@
             self.orders.prewarms.function_changing(index, release_at);
             if let Some((worker, loaded_at)) = function.loaded_by_own_order.take()
                 && function.last_call_at < loaded_at
-                && self.workers[worker].list_entry.state == WorkerState::In
+                && self.workers[worker].list_entry.state == WorkerState::InService
             {
                 function.placements.entry(worker).or_default().loaded_seen_at = None;
                 let (worker, function) = (self.workers[worker].list_entry.id.clone(), function.name.clone());
@@ -1027,7 +1040,7 @@
         if next <= self.now {
             next = self.now + renewal_time / 4;
             // Calls of peers renew the instance as well as an order would.
-            let wanted_at = home.filter(|_| !kept_by_peers && self.settings.may_order);
+            let wanted_at = home.filter(|_| !kept_by_peers && self.settings.may_prewarm);
             wanted_at.into_iter().for_each(|home| self.orders.prewarms.add((index, home)));
             self.order_prewarms();
         }
@@ -1088,20 +1101,20 @@
         if !needed && orders.prewarm_tokens < 1.0 {
             return false;
         }
-        let Some(budget) = &self.settings.ration else { return true };
+        let Some(budget) = &self.settings.order_rate_limit else { return true };
         // An order may wait for its connection. Orders therefore count for that time and a tick longer than
         // the window, and calls for less, so that the budget holds whenever the order leaves.
         let margin = self.settings.tick + self.settings.connect_timeout;
         orders.forget_before(self.now, budget.window, margin);
         (orders.order_times.len() + 1) as f64
-            <= budget.free + budget.per_request * orders.call_times.len() as f64
+            <= budget.base_orders + budget.per_request * orders.call_times.len() as f64
     }
 
     /// The only place that sends load orders; true if one is now in flight. It enforces: workers in service
     /// only, one order in flight for a function and worker, the limit on prewarm orders, the order budget.
     fn try_order(&mut self, worker: WorkerIndex, function: FunctionIndex, needed: bool, count: u32) -> bool {
         let worker_record = &self.workers[worker];
-        if !self.settings.may_order || worker_record.list_entry.state != WorkerState::In {
+        if !self.settings.may_prewarm || worker_record.list_entry.state != WorkerState::InService {
             return false;
         }
         // At a worker without capacity, a prewarm would displace a load that is needed now, but a renewal
@@ -1122,7 +1135,7 @@
         if !needed {
             self.orders.prewarm_tokens -= 1.0;
         }
-        if self.settings.ration.is_some() {
+        if self.settings.order_rate_limit.is_some() {
             self.orders.order_times.push_back(self.now);
         }
         let (function_record, worker_record) = (&mut self.functions[function], &mut self.workers[worker]);
@@ -1201,7 +1214,7 @@
             let span = self.now.saturating_sub(std::mem::replace(&mut self.refreshed_at, self.now)) as f64;
             let sample =
                 std::mem::take(&mut self.means.warm_successes) / span / self.fleet.warmed_up.max(1.0);
-            let weight = span / (self.settings.cold.warm_up as f64 + span);
+            let weight = span / (self.settings.cold_start.warm_up as f64 + span);
             self.means.warm_worker_rate += (sample - self.means.warm_worker_rate) * weight;
             self.forget_unused();
             self.update_fleet();
@@ -1229,7 +1242,7 @@
         let mut dispatching = true;
         for (deadline, id) in self.functions[function].waiting.clone() {
             let objective = |record: &RequestRecord| {
-                self.settings.classes.get(record.request.class).map_or(0, |class| class.aim)
+                self.settings.classes.get(record.request.class).map_or(0, |class| class.latency_objective)
             };
             let due_at = self
                 .requests
--- a/src/state.rs
+++ b/src/state.rs
@@ -281,7 +281,7 @@
 impl Worker {
     /// Until when it accepts no prewarm order.
     pub fn no_prewarm_until(&self) -> Micros {
-        if self.list_entry.state == WorkerState::In { self.full_until } else { Micros::MAX }
+        if self.list_entry.state == WorkerState::InService { self.full_until } else { Micros::MAX }
     }
 }
 
--- a/src/tally.rs
+++ b/src/tally.rs
@@ -4,28 +4,28 @@
 
 /// Entries that one dispatcher keeps and the work that it has done so far. No field is a time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct DispatcherStats {
     /// Pairs of a function and a worker about which this gateway has evidence of its own.
-    pub places: usize,
+    pub placements: usize,
     /// Wanted prewarms that wait to be ordered.
-    pub wanted: usize,
+    pub queued_prewarms: usize,
     /// Points of workers on the hash ring.
     pub ring_points: usize,
     /// How often a due forecast wanted an instance, whether or not its prewarm was already queued.
-    pub asked: u64,
+    pub prewarm_requests: u64,
     /// Entries visited in ranking prewarms and in forgetting idle functions.
-    pub looked_at: u64,
+    pub entries_visited: u64,
 }
 
 impl Dispatcher {
     /// Counts what is kept now and the entries visited so far.
-    pub fn tally(&self) -> Tally {
-        Tally {
-            places: self.functions.iter().map(|function| function.placements.len()).sum(),
-            wanted: self.orders.prewarms.len(),
+    pub fn stats(&self) -> DispatcherStats {
+        DispatcherStats {
+            placements: self.functions.iter().map(|function| function.placements.len()).sum(),
+            queued_prewarms: self.orders.prewarms.len(),
             ring_points: self.ring.len(),
-            asked: self.orders.prewarms.add_calls(),
-            looked_at: self.orders.prewarms.visits() + self.idle_functions.visits(),
+            prewarm_requests: self.orders.prewarms.add_calls(),
+            entries_visited: self.orders.prewarms.visits() + self.idle_functions.visits(),
         }
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -15,8 +15,8 @@
 pub fn class(name: &str, effect: Effect) -> Class {
     Class {
         name: name.into(),
-        aim: 600 * MS,
-        give_up: 5 * S,
+        latency_objective: 600 * MS,
+        client_timeout: 5 * S,
         effect,
         streamed: false,
         worth: 1.0,
@@ -31,17 +31,22 @@
         classes: vec![
             class("safe", Effect::Safe),
             class("unsafe", Effect::Unsafe),
-            class("zone", Effect::Keyed { group: Group::Zone, memory: 2 * S }),
+            class("zone", Effect::Keyed { group: Group::Zone, retention: 2 * S }),
         ],
         keep_alive: 10 * S,
-        when_absent: WhenAbsent::Load,
-        may_order: true,
+        miss_policy: MissPolicy::Load,
+        may_prewarm: true,
         order_timeout: 10 * S,
         may_cancel: true,
         may_probe: true,
         max_attempts: 5,
         drain_grace: S,
-        cold: ColdStart { from: 0.2, warm_up: 10 * S, multiple: 2.0, window: 2 * S },
+        cold_start: ColdStart {
+            initial_share: 0.2,
+            warm_up: 10 * S,
+            overload_multiple: 2.0,
+            overload_window: 2 * S,
+        },
         ..Settings::default()
     }
 }
@@ -53,14 +58,14 @@
         zone: ["a", "b"][number % 2].into(),
         kind: "std".into(),
         cell: number as u64 % 2,
-        state: WorkerState::In,
+        state: WorkerState::InService,
         started: None,
     }
 }
 
 /// A complete list of this many workers.
 pub fn workers(count: usize) -> Event {
-    Event::List(ListNews::Whole((1..=count).map(worker).collect()))
+    Event::List(WorkerListUpdate::Complete((1..=count).map(worker).collect()))
 }
 
 /// A request with five seconds left, for a function of 500 MB with a concurrency of 4 per instance.
@@ -72,21 +77,21 @@
         function: function.into(),
         time_left: 5 * S,
         memory_mb: Some(500.0),
-        lanes: Some(4),
+        concurrency: Some(4),
         load_time: None,
     }
 }
 
 /// The end of an attempt after 100 ms.
 pub fn ended(id: &str, attempt: usize, worker: &WorkerId, outcome: Outcome) -> Event {
-    Event::Ended {
+    Event::AttemptEnded {
         request: id.into(),
         attempt,
         worker: worker.clone(),
         outcome,
         elapsed: 100 * MS,
         answered: outcome == Outcome::Ok,
-        crowd: None,
+        worker_in_flight: None,
         load_failed: false,
     }
 }
@@ -94,7 +99,13 @@
 /// The answer to a prewarm order of one instance.
 pub fn prewarm_answer(worker: &WorkerId, function: &str, outcome: Outcome, elapsed: Micros) -> Event {
     let standing = u32::from(outcome == Outcome::Ok);
-    Event::Held { worker: worker.clone(), function: function.into(), outcome, elapsed, standing }
+    Event::PrewarmEnded {
+        worker: worker.clone(),
+        function: function.into(),
+        outcome,
+        elapsed,
+        loaded_instances: standing,
+    }
 }
 
 /// A dispatcher with a simulated clock, and a checker of its events and actions.
@@ -230,7 +241,7 @@
                 };
                 self.requests.entry(request.id.clone()).or_insert(record);
             }
-            Event::Ended { request, attempt, outcome, answered, .. } => {
+            Event::AttemptEnded { request, attempt, outcome, answered, .. } => {
                 if let Some(record) = self.requests.get_mut(request) {
                     if let Some(attempt) = record.attempts.get_mut(*attempt) {
                         attempt.2.get_or_insert(*outcome);
@@ -238,14 +249,14 @@
                     record.finished |= answered;
                 }
             }
-            Event::Gone(request) => {
+            Event::ClientLeft(request) => {
                 self.requests.entry(request.clone()).and_modify(|record| record.finished = true);
             }
             Event::List(update) => {
                 let (entries, complete) = match update {
-                    ListNews::Whole(entries) => (entries.clone(), true),
-                    ListNews::Changes(entries) => (entries.clone(), false),
-                    ListNews::Lost => return,
+                    WorkerListUpdate::Complete(entries) => (entries.clone(), true),
+                    WorkerListUpdate::Changes(entries) => (entries.clone(), false),
+                    WorkerListUpdate::Unavailable => return,
                 };
                 if complete {
                     for id in self.listed.keys() {
@@ -255,7 +266,7 @@
                     }
                 }
                 for entry in entries {
-                    if entry.state == WorkerState::In {
+                    if entry.state == WorkerState::InService {
                         self.unavailable_since.remove(&entry.id);
                     } else {
                         self.unavailable_since.entry(entry.id.clone()).or_insert(now);
@@ -294,11 +305,11 @@
                     found.push(format!("orders a load on {worker}, which drains or is gone"));
                 }
                 self.orders.push_back(now);
-                if let Some(limit) = &self.settings.ration {
+                if let Some(limit) = &self.settings.order_rate_limit {
                     let since = now.saturating_sub(limit.window);
                     let orders = self.orders.iter().filter(|at| **at >= since).count() as f64;
                     let calls = self.calls.iter().filter(|at| **at >= since).count() as f64;
-                    if orders > limit.free + limit.per_request * calls {
+                    if orders > limit.base_orders + limit.per_request * calls {
                         found.push("orders more loads than the rate limit".into());
                     }
                 }
@@ -325,7 +336,7 @@
         if record.attempts.len() >= self.settings.max_attempts {
             found.push(format!("sends {id} too often"));
         }
-        if !self.settings.may_duplicate && record.attempts.iter().any(|a| a.2.is_none()) {
+        if !self.settings.may_hedge && record.attempts.iter().any(|a| a.2.is_none()) {
             found.push(format!("has two attempts of {id} in flight"));
         }
         for (worker, sent, outcome) in &record.attempts {
@@ -335,7 +346,7 @@
             match self.effect(&record.request) {
                 Effect::Safe => {}
                 Effect::Unsafe => found.push(format!("sends the unsafe {id} again")),
-                Effect::Keyed { group, memory } => {
+                Effect::Keyed { group, retention: memory } => {
                     let (from, to) = (&self.listed[worker], &self.listed[to]);
                     let same_group = match group {
                         Group::All => true,
@@ -351,18 +362,20 @@
             }
         }
         self.requests.entry(id.clone()).and_modify(|record| record.attempts.push((to.clone(), now, None)));
-        let cold = self.settings.cold;
+        let cold = self.settings.cold_start;
         if let Some(start) = self.listed.get(to).and_then(|w| w.started)
             && now < start + cold.warm_up
         {
             let window = self.cold_sends.entry(to.clone()).or_default();
             window.push_back(now);
-            while window.front().is_some_and(|at| at + cold.window < now) {
+            while window.front().is_some_and(|at| at + cold.overload_window < now) {
                 window.pop_front();
             }
-            let age = now.saturating_sub(cold.window).saturating_sub(start) as f64 / cold.warm_up as f64;
-            let capacity = self.worker_rate * (cold.from + (1.0 - cold.from) * age.min(1.0));
-            let budget = cold.multiple * capacity * cold.window as f64 / 1e6;
+            let age =
+                now.saturating_sub(cold.overload_window).saturating_sub(start) as f64 / cold.warm_up as f64;
+            let capacity =
+                self.worker_rate * (cold.initial_share + (1.0 - cold.initial_share) * age.min(1.0));
+            let budget = cold.overload_multiple * capacity * cold.overload_window as f64 / 1e6;
             if window.len() as f64 > budget / f64::from(self.settings.gateways) {
                 found.push(format!("overloads the cold {to}"));
             }
--- a/tests/common/sequences.rs
+++ b/tests/common/sequences.rs
@@ -32,19 +32,25 @@
 /// The settings of each sequence: with and without orders, a rate limit on orders, further gateways and slow
 /// start.
 fn settings_of(sequence: u64) -> Settings {
-    let order_limit = Some(OrderRation { window: 5 * S, free: 4.0, per_request: 0.1 });
+    let order_limit = Some(OrderRateLimit { window: 5 * S, base_orders: 4.0, per_request: 0.1 });
     let base = Settings { keep_alive: 3 * S, ..settings() };
-    let miss = Settings { when_absent: WhenAbsent::Miss, ..base.clone() };
-    let slow_start = ColdStart { from: 0.1, warm_up: 20 * S, multiple: 1.5, window: 3 * S };
+    let miss = Settings { miss_policy: MissPolicy::Miss, ..base.clone() };
+    let slow_start =
+        ColdStart { initial_share: 0.1, warm_up: 20 * S, overload_multiple: 1.5, overload_window: 3 * S };
     match sequence {
         0 => base,
         1 => Settings { gateways: 3, ..base },
         2 => miss,
-        3 => Settings { gateways: 40, ration: order_limit, ..miss },
-        4 => Settings { may_order: false, ..base },
-        5 => Settings { may_order: false, must_follow: true, gateways: 12, ..miss },
-        6 => Settings { ration: order_limit, cold: slow_start, tells_crowd: true, ..base },
-        7 => Settings { gateways: 200, cold: slow_start, tells_crowd: true, ..miss },
+        3 => Settings { gateways: 40, order_rate_limit: order_limit, ..miss },
+        4 => Settings { may_prewarm: false, ..base },
+        5 => Settings { may_prewarm: false, must_subscribe: true, gateways: 12, ..miss },
+        6 => Settings {
+            order_rate_limit: order_limit,
+            cold_start: slow_start,
+            reports_in_flight: true,
+            ..base
+        },
+        7 => Settings { gateways: 200, cold_start: slow_start, reports_in_flight: true, ..miss },
         8 => Settings { keep_alive: 500 * MS, retry_after: true, max_retry_after: 2 * S, ..base },
         _ => Settings { classes: vec![class("short", Effect::Safe)], keep_alive: 9 * S, gateways: 2, ..base },
     }
@@ -114,7 +120,7 @@
 
     fn run(&mut self) {
         self.worker_list = (0..WORKERS).map(|_| self.new_worker()).collect();
-        self.handle(Event::List(ListNews::Whole(self.worker_list.clone())));
+        self.handle(Event::List(WorkerListUpdate::Complete(self.worker_list.clone())));
         while self.now < LENGTH {
             self.now += TICK;
             while let Some((_, scheduled)) = self.next_due() {
@@ -132,7 +138,7 @@
             if self.below(1_500) == 0 {
                 let (function, like) = (self.function(), self.function());
                 let within = Micros::from(self.below(8_000)) * MS;
-                self.handle(Event::Expected { function, like, within });
+                self.handle(Event::CallsExpected { function, similar_to: like, within });
             }
         }
     }
@@ -157,13 +163,13 @@
             function,
             time_left: Micros::from(200 + self.below(4_800)) * MS,
             memory_mb: Some(f64::from(300 + number % 7 * 100)),
-            lanes: Some(1 + number % 4),
+            concurrency: Some(1 + number % 4),
             load_time: number.is_multiple_of(5).then_some(900 * MS),
         };
         self.open_requests.insert(id.clone());
         self.handle(Event::Arrived(request));
         if self.below(60) == 0 && self.open_requests.remove(&id) {
-            self.handle(Event::Gone(id));
+            self.handle(Event::ClientLeft(id));
         }
     }
 
@@ -181,20 +187,21 @@
         let changed = self.below(WORKERS) as usize;
         match self.below(6) {
             0 => self.worker_list[changed].state = WorkerState::Draining,
-            1 => self.worker_list[changed].state = WorkerState::Out,
+            1 => self.worker_list[changed].state = WorkerState::OutOfService,
             2 => self.worker_list[changed] = self.new_worker(),
             3 => self.worker_list[changed].started = Some(self.now),
             _ => {}
         }
         // Another one returns, so that most workers stay listed.
         let returning = self.below(WORKERS) as usize;
-        self.worker_list[returning].state = WorkerState::In;
-        let in_service = self.worker_list.iter().filter(|w| w.state == WorkerState::In).cloned().collect();
+        self.worker_list[returning].state = WorkerState::InService;
+        let in_service =
+            self.worker_list.iter().filter(|w| w.state == WorkerState::InService).cloned().collect();
         let changes = vec![self.worker_list[changed].clone(), self.worker_list[returning].clone()];
         let update = match self.below(5) {
-            0 | 1 => ListNews::Whole(in_service),
-            2 => ListNews::Lost,
-            _ => ListNews::Changes(changes),
+            0 | 1 => WorkerListUpdate::Complete(in_service),
+            2 => WorkerListUpdate::Unavailable,
+            _ => WorkerListUpdate::Changes(changes),
         };
         self.handle(Event::List(update));
     }
@@ -212,11 +219,24 @@
                 let crowd = (attempt == 0).then(|| self.below(3));
                 let elapsed = self.now - sent;
                 let load_failed = outcome == Outcome::Error && crowd == Some(0);
-                Event::Ended { request, attempt, worker, outcome, elapsed, answered, crowd, load_failed }
-            }
-            Scheduled::OrderAnswer { worker, function, outcome, loaded, sent } => {
-                Event::Held { worker, function, outcome, elapsed: self.now - sent, standing: loaded }
+                Event::AttemptEnded {
+                    request,
+                    attempt,
+                    worker,
+                    outcome,
+                    elapsed,
+                    answered,
+                    worker_in_flight: crowd,
+                    load_failed,
+                }
             }
+            Scheduled::OrderAnswer { worker, function, outcome, loaded, sent } => Event::PrewarmEnded {
+                worker,
+                function,
+                outcome,
+                elapsed: self.now - sent,
+                loaded_instances: loaded,
+            },
         })
     }
 
@@ -284,7 +304,7 @@
     fn serve(&mut self, worker: &WorkerId, timeout: Micros) -> (Outcome, Micros) {
         let short = Micros::from(1 + self.below(40)) * MS;
         let long = Micros::from(100 + self.below(900)) * MS;
-        let miss = self.settings.when_absent == WhenAbsent::Miss;
+        let miss = self.settings.miss_policy == MissPolicy::Miss;
         // Some workers fail more often than others.
         let unreliable = worker.0.len().is_multiple_of(2);
         match self.below(if unreliable { 60 } else { 200 }) {
@@ -293,7 +313,7 @@
             2 => (Outcome::Timeout, timeout),
             3 => (Outcome::ConnectFailed, short),
             4 => (Outcome::Reset, short),
-            5 => (Outcome::Moot, 1),
+            5 => (Outcome::NotSent, 1),
             6..12 if miss => (Outcome::Miss, short),
             6..12 => (Outcome::Ok, long.min(timeout)),
             _ => (Outcome::Ok, short.min(timeout)),
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -54,12 +54,12 @@
         harness.handle(workers(5));
         let home = home_of(&mut harness, "f");
         harness.handle(ended("probe-f", 0, &home, Outcome::Full));
-        harness.handle(Event::Gone("probe-f".into()));
+        harness.handle(Event::ClientLeft("probe-f".into()));
         harness.now = 4 * S;
         let id = "r";
         let to = sends(&arrive(&mut harness, id, 0, "f"))[0].1.clone();
         harness.handle(ended(id, 0, &to, Outcome::Miss));
-        harness.handle(Event::Gone(id.into()));
+        harness.handle(Event::ClientLeft(id.into()));
         let ordered = prewarm_orders(&harness.run_to(6 * S));
         assert!(!ordered.is_empty(), "the forecast leads to a prewarm order");
         for (worker, function) in &ordered {
@@ -110,7 +110,7 @@
 
 #[test]
 fn a_request_of_an_unloaded_function_orders_the_load_and_waits_for_it() {
-    let mut harness = Harness::new(Settings { when_absent: WhenAbsent::Miss, ..settings() });
+    let mut harness = Harness::new(Settings { miss_policy: MissPolicy::Miss, ..settings() });
     harness.handle(workers(5));
     let actions = arrive(&mut harness, "r", 1, "f");
     let (home, _) = prewarm_orders(&actions)[0].clone();
@@ -175,7 +175,7 @@
     harness.handle(ended("probe-f", 0, &home, Outcome::Ok));
     let drained = [worker(1), worker(2)].into_iter().find(|w| w.id == home).expect("a listed worker");
     let entry = WorkerEntry { state: WorkerState::Draining, ..drained };
-    harness.handle(Event::List(ListNews::Changes(vec![entry])));
+    harness.handle(Event::List(WorkerListUpdate::Changes(vec![entry])));
     for n in 1..50 {
         let actions = harness.run_to(n * 200 * MS);
         assert!(prewarm_orders(&actions).iter().all(|(to, _)| *to != home));
@@ -249,14 +249,14 @@
 fn a_slow_worker_has_few_requests_in_flight_and_the_others_wait_or_are_refused() {
     let mut harness = Harness::new(settings());
     harness.handle(workers(1));
-    let slow = |id: &str, to: &WorkerId| Event::Ended {
+    let slow = |id: &str, to: &WorkerId| Event::AttemptEnded {
         request: id.into(),
         attempt: 0,
         worker: to.clone(),
         outcome: Outcome::Ok,
         elapsed: 3 * S,
         answered: true,
-        crowd: None,
+        worker_in_flight: None,
         load_failed: false,
     };
     let to = worker(1).id;
@@ -281,9 +281,10 @@
 
 #[test]
 fn a_lost_subscription_to_the_worker_list_is_renewed() {
-    let mut harness = Harness::new(Settings { must_follow: true, ask_within: 8 * S, ..settings() });
+    let mut harness =
+        Harness::new(Settings { must_subscribe: true, list_poll_interval: 8 * S, ..settings() });
     assert!(harness.handle(workers(2)).contains(&Action::Follow));
-    harness.handle(Event::List(ListNews::Lost));
+    harness.handle(Event::List(WorkerListUpdate::Unavailable));
     assert!(harness.run_to(8 * S).contains(&Action::Follow));
 }
 
@@ -294,23 +295,32 @@
     for n in 0..20 {
         harness.now += 100 * MS;
         let id = format!("r{n}");
-        let endless = Request { time_left: Micros::MAX / 4, lanes: Some(0), ..request(&id, 0, "f") };
+        let endless = Request { time_left: Micros::MAX / 4, concurrency: Some(0), ..request(&id, 0, "f") };
         for (_, worker) in sends(&harness.handle(Event::Arrived(endless))) {
             let outcome = if n % 3 == 0 { Outcome::Full } else { Outcome::Ok };
             let event = ended(&id, 0, &worker, outcome);
-            let Event::Ended { request, attempt, worker, outcome, answered, crowd, load_failed, .. } = event
+            let Event::AttemptEnded {
+                request,
+                attempt,
+                worker,
+                outcome,
+                answered,
+                worker_in_flight: crowd,
+                load_failed,
+                ..
+            } = event
             else {
                 return;
             };
             let elapsed = Micros::MAX;
-            harness.handle(Event::Ended {
+            harness.handle(Event::AttemptEnded {
                 request,
                 attempt,
                 worker,
                 outcome,
                 elapsed,
                 answered,
-                crowd,
+                worker_in_flight: crowd,
                 load_failed,
             });
         }
@@ -322,7 +332,7 @@
 
 #[test]
 fn a_missed_request_waits_for_the_load_at_its_home_and_tries_no_other_worker() {
-    let many = Settings { gateways: 100, when_absent: WhenAbsent::Miss, ..settings() };
+    let many = Settings { gateways: 100, miss_policy: MissPolicy::Miss, ..settings() };
     let mut harness = Harness::new(many);
     harness.now = 20 * S;
     harness.handle(workers(8));
@@ -350,13 +360,30 @@
     harness.handle(workers(4));
     let home = sends(&arrive(&mut harness, "r", 1, "f"))[0].1.clone();
     harness.now = 4 * S;
-    let Event::Ended { request, attempt, worker, outcome, answered, crowd, load_failed, .. } =
-        ended("r", 0, &home, Outcome::Timeout)
+    let Event::AttemptEnded {
+        request,
+        attempt,
+        worker,
+        outcome,
+        answered,
+        worker_in_flight: crowd,
+        load_failed,
+        ..
+    } = ended("r", 0, &home, Outcome::Timeout)
     else {
         return;
     };
     let elapsed = 4 * S;
-    harness.handle(Event::Ended { request, attempt, worker, outcome, elapsed, answered, crowd, load_failed });
+    harness.handle(Event::AttemptEnded {
+        request,
+        attempt,
+        worker,
+        outcome,
+        elapsed,
+        answered,
+        worker_in_flight: crowd,
+        load_failed,
+    });
     assert_ne!(sends(&arrive(&mut harness, "same", 1, "f"))[0].1, home);
     assert_eq!(sends(&arrive(&mut harness, "other", 0, "f"))[0].1, home);
 }
@@ -373,14 +400,14 @@
             let Some((_, worker)) = sends(&arrive(&mut harness, &id, 1, "f")).first().cloned() else {
                 continue;
             };
-            harness.handle(Event::Ended {
+            harness.handle(Event::AttemptEnded {
                 request: id.as_str().into(),
                 attempt: 0,
                 worker,
                 outcome: Outcome::Error,
                 elapsed: 50 * MS,
                 answered: false,
-                crowd: None,
+                worker_in_flight: None,
                 load_failed: failed,
             });
         }
@@ -399,7 +426,7 @@
         let to = sends(&arrive(&mut harness, &id, 0, "f@1"))[0].1.clone();
         harness.handle(ended(&id, 0, &to, Outcome::Ok));
     }
-    let expected = |within| Event::Expected { function: "f@2".into(), like: "f@1".into(), within };
+    let expected = |within| Event::CallsExpected { function: "f@2".into(), similar_to: "f@1".into(), within };
     let orders_of_new = |actions: &[Action]| -> Vec<WorkerId> {
         prewarm_orders(actions)
             .into_iter()
@@ -445,7 +472,7 @@
         let id = format!("m{n}");
         let to = sends(&arrive(&mut harness, &id, 0, "made-up"))[0].1.clone();
         harness.handle(ended(&id, 0, &to, Outcome::Error));
-        harness.handle(Event::Gone(id.as_str().into()));
+        harness.handle(Event::ClientLeft(id.as_str().into()));
     }
     let other_function = (0..200).map(|n| format!("f{n}")).find(|name| home_of(&mut harness, name) == bad);
     assert!(other_function.is_some(), "the worker still gets requests");
@@ -454,7 +481,7 @@
 #[test]
 fn a_prewarm_order_that_fails_at_once_is_not_repeated_at_once() {
     for outcome in [Outcome::Error, Outcome::ConnectFailed] {
-        let mut harness = Harness::new(Settings { when_absent: WhenAbsent::Miss, ..settings() });
+        let mut harness = Harness::new(Settings { miss_policy: MissPolicy::Miss, ..settings() });
         harness.handle(workers(1));
         let first = prewarm_orders(&arrive(&mut harness, "r", 0, "f"));
         assert_eq!(first.len(), 1);
@@ -483,7 +510,7 @@
             (0..200).map(|n| format!("g{n}")).find(|name| home_of(&mut harness, name) == home).unwrap();
         for name in ["f", &other] {
             harness.handle(ended(&format!("probe-{name}"), 0, &home, Outcome::Full));
-            harness.handle(Event::Gone(format!("probe-{name}").as_str().into()));
+            harness.handle(Event::ClientLeft(format!("probe-{name}").as_str().into()));
         }
         let mut orders: Vec<(Micros, FunctionId)> = Vec::new();
         harness.now = 4 * S;
@@ -494,7 +521,7 @@
             for (_, name) in repeats.into_iter().filter(|(at, _)| *at == now) {
                 let to = sends(&arrive(&mut harness, name, 0, name))[0].1.clone();
                 harness.handle(ended(name, 0, &to, Outcome::Miss));
-                harness.handle(Event::Gone(name.into()));
+                harness.handle(Event::ClientLeft(name.into()));
             }
             let next = harness.now + 10 * MS;
             let mut actions = harness.run_to(next);
@@ -549,7 +576,7 @@
         // Every second a new worker replaces another, and ten functions are called that are not called again.
         if n % 10 == 0 {
             let fleet = (n / 10..n / 10 + 3).map(worker).collect();
-            harness.handle(Event::List(ListNews::Whole(fleet)));
+            harness.handle(Event::List(WorkerListUpdate::Complete(fleet)));
         }
         let (id, function) = (format!("r{n}"), format!("f{n}"));
         known.insert(function.clone());
@@ -559,7 +586,7 @@
             let Some((_, to)) = sends(&actions).into_iter().nth(attempt) else { break };
             actions.extend(harness.handle(ended(&id, attempt, &to, outcome)));
         }
-        harness.handle(Event::Gone(id.as_str().into()));
+        harness.handle(Event::ClientLeft(id.as_str().into()));
         let next = harness.now + 100 * MS;
         actions.extend(harness.run_to(next));
         for action in actions {
@@ -611,7 +638,7 @@
                 harness.handle(ended(&good, 0, &home, Outcome::Ok));
             }
             harness.handle(ended(&broken, 0, &home, Outcome::Reset));
-            harness.handle(Event::Gone(broken.as_str().into()));
+            harness.handle(Event::ClientLeft(broken.as_str().into()));
         }
         let next = sends(&arrive(&mut harness, "next", 0, &g))[0].1.clone();
         assert_eq!(
@@ -631,7 +658,7 @@
 
 #[test]
 fn an_answered_prewarm_order_clears_earlier_failures_of_orders() {
-    let mut harness = Harness::new(Settings { when_absent: WhenAbsent::Miss, ..settings() });
+    let mut harness = Harness::new(Settings { miss_policy: MissPolicy::Miss, ..settings() });
     harness.handle(workers(5));
     let home = worker(1).id;
     let names = functions_with_home(&home, 5);
@@ -667,14 +694,14 @@
     harness.handle(workers(1));
     let to = worker(1).id;
     let slow = |id: &str| match ended(id, 0, &to, Outcome::Ok) {
-        Event::Ended { request, worker, .. } => Event::Ended {
+        Event::AttemptEnded { request, worker, .. } => Event::AttemptEnded {
             request,
             attempt: 0,
             worker,
             outcome: Outcome::Ok,
             elapsed: 4 * S,
             answered: true,
-            crowd: None,
+            worker_in_flight: None,
             load_failed: false,
         },
         other => other,
@@ -721,7 +748,7 @@
             harness.run_to(2 * S + elapsed);
         }
         let mut answer = ended(id, 0, &to, Outcome::Ok);
-        if let Event::Ended { elapsed: time, .. } = &mut answer {
+        if let Event::AttemptEnded { elapsed: time, .. } = &mut answer {
             *time = elapsed;
         }
         harness.handle(answer);
@@ -748,8 +775,13 @@
                     let largest = counts.entry(worker.clone()).or_insert(0);
                     *largest = count.max(*largest);
                     let elapsed = 2 * MS;
-                    let event =
-                        Event::Held { worker, function, outcome: Outcome::Ok, elapsed, standing: count };
+                    let event = Event::PrewarmEnded {
+                        worker,
+                        function,
+                        outcome: Outcome::Ok,
+                        elapsed,
+                        loaded_instances: count,
+                    };
                     actions.extend(harness.handle(event));
                 }
                 _ => {}
@@ -766,7 +798,7 @@
 #[test]
 fn a_hot_function_gets_more_instances_per_worker_only_if_it_has_too_few_homes() {
     for (worker_count, most_instances) in [(1, 16), (1, 4), (2, 16), (40, 16)] {
-        let mut harness = Harness::new(Settings { most_instances, ..settings() });
+        let mut harness = Harness::new(Settings { max_instances_per_order: most_instances, ..settings() });
         harness.handle(workers(worker_count));
         let counts = run_load(&mut harness, 20, 6 * S);
         let largest = counts.values().max().copied().unwrap_or(0);
@@ -787,15 +819,19 @@
 
 #[test]
 fn canceled_calls_do_not_add_to_the_order_budget_and_orders_count_while_they_may_wait_for_a_connection() {
-    let order_limit = Some(OrderRation { window: 10 * S, free: 1.0, per_request: 0.5 });
-    let (when_absent, connect_timeout) = (WhenAbsent::Miss, 250 * MS);
-    let mut harness =
-        Harness::new(Settings { when_absent, ration: order_limit, connect_timeout, ..settings() });
+    let order_limit = Some(OrderRateLimit { window: 10 * S, base_orders: 1.0, per_request: 0.5 });
+    let (when_absent, connect_timeout) = (MissPolicy::Miss, 250 * MS);
+    let mut harness = Harness::new(Settings {
+        miss_policy: when_absent,
+        order_rate_limit: order_limit,
+        connect_timeout,
+        ..settings()
+    });
     harness.handle(workers(5));
     let mut orders = Vec::new();
     for n in 0..100 {
         orders.extend(prewarm_orders(&arrive(&mut harness, &format!("flood-{n}"), 0, &format!("f{n}"))));
-        harness.handle(Event::Gone(format!("flood-{n}").as_str().into()));
+        harness.handle(Event::ClientLeft(format!("flood-{n}").as_str().into()));
     }
     assert_eq!(orders.len(), 1, "the order that is allowed regardless of the traffic");
     let (home, function) = orders.remove(0);
@@ -811,13 +847,13 @@
         "two served calls allow one more order"
     );
     assert!(prewarm_orders(&arrive(&mut harness, "b", 0, "fb")).is_empty());
-    harness.handle(Event::Gone("a".into()));
-    harness.handle(Event::Gone("b".into()));
+    harness.handle(Event::ClientLeft("a".into()));
+    harness.handle(Event::ClientLeft("b".into()));
     // The first two orders may have waited for their connections, so they count until a connect timeout after
     // the window.
     harness.run_to(10 * S + 240 * MS);
     assert!(prewarm_orders(&arrive(&mut harness, "c", 0, "fc")).is_empty());
-    harness.handle(Event::Gone("c".into()));
+    harness.handle(Event::ClientLeft("c".into()));
     harness.run_to(10 * S + 300 * MS);
     assert_eq!(prewarm_orders(&arrive(&mut harness, "d", 0, "fd")).len(), 1);
     assert!(harness.checker.violations.is_empty(), "{:?}", harness.checker.violations);
--- a/tests/planned_size.rs
+++ b/tests/planned_size.rs
@@ -86,7 +86,7 @@
         id: WorkerId::from(format!("10.0.{}.{}:9000", number / 200, number % 200).as_str()),
         ..worker(number)
     };
-    Event::List(ListNews::Whole((0..count).map(entry).collect()))
+    Event::List(WorkerListUpdate::Complete((0..count).map(entry).collect()))
 }
 
 fn with_orders() -> Settings {
@@ -97,14 +97,21 @@
 /// wanted instances then.
 fn entries_visited_per_event(functions: usize) -> (f64, usize) {
     let mut gateway = Gateway::new(functions, 100, with_orders());
-    let (before, events) = (gateway.module.tally(), gateway.events);
+    let (before, events) = (gateway.module.stats(), gateway.events);
     gateway.run_ten_seconds();
-    let after = gateway.module.tally();
+    let after = gateway.module.stats();
     assert!(gateway.orders > 50, "the order budget is spent: {}", gateway.orders);
     // Forecasts that are due ask again, at most four times per renewal interval (0.6 of the keep-alive).
     let max_asked = functions as u64 * 10 * 4 / 6 + functions as u64;
-    assert!(after.asked - before.asked <= max_asked, "{} asked", after.asked - before.asked);
-    ((after.looked_at - before.looked_at) as f64 / (gateway.events - events) as f64, after.wanted)
+    assert!(
+        after.prewarm_requests - before.prewarm_requests <= max_asked,
+        "{} asked",
+        after.prewarm_requests - before.prewarm_requests
+    );
+    (
+        (after.entries_visited - before.entries_visited) as f64 / (gateway.events - events) as f64,
+        after.queued_prewarms,
+    )
 }
 
 #[test]
@@ -119,10 +126,10 @@
 fn memory_does_not_grow_with_workers_times_functions() {
     let entries = |workers| {
         let gateway = Gateway::new(1_000, workers, with_orders());
-        let tally = gateway.module.tally();
+        let tally = gateway.module.stats();
         assert_eq!(tally.ring_points, workers * 100);
-        assert!(tally.places <= gateway.calls + gateway.orders, "{tally:?}");
-        tally.places + tally.wanted
+        assert!(tally.placements <= gateway.calls + gateway.orders, "{tally:?}");
+        tally.placements + tally.queued_prewarms
     };
     let (few, many) = (entries(100), entries(1_000));
     assert!(few >= 1_000 && many <= few + few / 10, "{few} entries with 100 workers, {many} with 1,000");
@@ -131,14 +138,16 @@
 #[test]
 fn the_cost_of_a_changed_worker_depends_on_the_functions_on_it() {
     let mut gateway = Gateway::new(4_000, 100, with_orders());
-    let Event::List(ListNews::Whole(entries)) = complete_list(100) else { unreachable!("a complete list") };
+    let Event::List(WorkerListUpdate::Complete(entries)) = complete_list(100) else {
+        unreachable!("a complete list")
+    };
     for entry in entries.into_iter().take(20) {
-        for state in [WorkerState::Out, WorkerState::In] {
-            let before = gateway.module.tally();
+        for state in [WorkerState::OutOfService, WorkerState::InService] {
+            let before = gateway.module.stats();
             let entry = WorkerEntry { state, ..entry.clone() };
-            gateway.handle(Event::List(ListNews::Changes(vec![entry])));
+            gateway.handle(Event::List(WorkerListUpdate::Changes(vec![entry])));
             gateway.run_to(gateway.now + 40 * MS);
-            let looked_at = gateway.module.tally().looked_at - before.looked_at;
+            let looked_at = gateway.module.stats().entries_visited - before.entries_visited;
             // A hundredth of the functions, times two for an uneven hash ring. Each function has a wanted
             // instance at a home and one at a former home, and each is found, removed from its ranking and
             // inserted: eight visits.
@@ -149,9 +158,9 @@
 
 #[test]
 fn with_orders_off_nothing_is_wanted() {
-    let mut gateway = Gateway::new(1_000, 20, Settings { may_order: false, ..with_orders() });
+    let mut gateway = Gateway::new(1_000, 20, Settings { may_prewarm: false, ..with_orders() });
     gateway.run_ten_seconds();
-    let tally = gateway.module.tally();
-    assert_eq!((tally.wanted, tally.asked, gateway.orders), (0, 0, 0));
-    assert!(gateway.functions == 1_000 && tally.places >= 1_000, "the functions are known nevertheless");
+    let tally = gateway.module.stats();
+    assert_eq!((tally.queued_prewarms, tally.prewarm_requests, gateway.orders), (0, 0, 0));
+    assert!(gateway.functions == 1_000 && tally.placements >= 1_000, "the functions are known nevertheless");
 }
--- a/tests/random.rs
+++ b/tests/random.rs
@@ -15,7 +15,7 @@
     Outcome::ConnectFailed,
     Outcome::Reset,
     Outcome::Cancelled,
-    Outcome::Moot,
+    Outcome::NotSent,
     Outcome::Miss,
 ];
 
@@ -41,7 +41,7 @@
     let mut orders: Vec<(Micros, Micros, WorkerId, FunctionId)> = Vec::new();
     let mut attempts = std::collections::BTreeMap::<RequestId, usize>::new();
     let mut list: Vec<WorkerEntry> = (1..=6).map(worker).collect();
-    let mut pending = vec![Event::List(ListNews::Whole(list.clone()))];
+    let mut pending = vec![Event::List(WorkerListUpdate::Complete(list.clone()))];
     let mut number = 0;
     for step in 0..3_000u64 {
         let now = step * 5 * MS;
@@ -61,41 +61,41 @@
             let (function, like) = (format!("f{}", below(15)), format!("f{}", below(15)));
             let within = Micros::from(below(20_000)) * MS;
             let (function, like) = (function.as_str().into(), like.as_str().into());
-            pending.push(Event::Expected { function, like, within });
+            pending.push(Event::CallsExpected { function, similar_to: like, within });
         }
         if below(80) == 0 {
             let changed = below(6) as usize;
             list[changed].state =
-                [WorkerState::In, WorkerState::Draining, WorkerState::Out][below(3) as usize];
+                [WorkerState::InService, WorkerState::Draining, WorkerState::OutOfService][below(3) as usize];
             if below(2) == 0 {
-                list[changed].state = WorkerState::In;
+                list[changed].state = WorkerState::InService;
                 list[changed].started = Some(now.saturating_sub(Micros::from(below(900)) * MS));
             }
-            let in_service = list.iter().filter(|w| w.state == WorkerState::In).cloned().collect();
+            let in_service = list.iter().filter(|w| w.state == WorkerState::InService).cloned().collect();
             pending.push(Event::List(match below(4) {
-                0 => ListNews::Whole(in_service),
-                1 => ListNews::Lost,
-                _ => ListNews::Changes(vec![list[changed].clone()]),
+                0 => WorkerListUpdate::Complete(in_service),
+                1 => WorkerListUpdate::Unavailable,
+                _ => WorkerListUpdate::Changes(vec![list[changed].clone()]),
             }));
         }
         if faulty_events && below(60) == 0 && number > 3 {
             let id = format!("r{}", number - below(3));
             pending.push(match below(3) {
-                0 => Event::Gone(id.as_str().into()),
-                1 => Event::Begun { request: "nobody".into(), attempt: 3 },
+                0 => Event::ClientLeft(id.as_str().into()),
+                1 => Event::StreamStarted { request: "nobody".into(), attempt: 3 },
                 _ => ended("nobody", 9, &list[0].id, Outcome::Ok),
             });
         }
         in_flight.retain(|attempt| {
             if attempt.ends_at <= now {
-                pending.push(Event::Ended {
+                pending.push(Event::AttemptEnded {
                     request: attempt.request.clone(),
                     attempt: attempt.attempt,
                     worker: attempt.worker.clone(),
                     outcome: attempt.outcome,
                     elapsed: now - attempt.sent,
                     answered: false,
-                    crowd: None,
+                    worker_in_flight: None,
                     load_failed: false,
                 });
             }
@@ -110,9 +110,9 @@
         });
         for mut event in pending.drain(..) {
             // The client gets its answer at the first success.
-            if let Event::Ended { request, outcome: Outcome::Ok, answered, .. } = &mut event {
+            if let Event::AttemptEnded { request, outcome: Outcome::Ok, answered, .. } = &mut event {
                 *answered = harness.checker.is_open(request);
-            } else if let Event::Ended { request, answered, .. } = &mut event {
+            } else if let Event::AttemptEnded { request, answered, .. } = &mut event {
                 *answered = !harness.checker.is_open(request);
             }
             actions.extend(harness.handle(event));
@@ -151,15 +151,20 @@
 }
 
 fn variants() -> Vec<Settings> {
-    let order_limit = Some(OrderRation { window: 5 * S, free: 4.0, per_request: 0.1 });
+    let order_limit = Some(OrderRateLimit { window: 5 * S, base_orders: 4.0, per_request: 0.1 });
     let base = settings();
     vec![
         base.clone(),
-        Settings { when_absent: WhenAbsent::Miss, gateways: 2, ..base.clone() },
-        Settings { ration: order_limit, drain_grace: 0, max_attempts: 3, ..base.clone() },
-        Settings { when_absent: WhenAbsent::Miss, ration: order_limit, may_cancel: false, ..base.clone() },
-        Settings { may_order: false, when_absent: WhenAbsent::Miss, must_follow: true, ..base.clone() },
-        Settings { may_duplicate: true, max_attempts: 1, keep_alive: 0, ..base },
+        Settings { miss_policy: MissPolicy::Miss, gateways: 2, ..base.clone() },
+        Settings { order_rate_limit: order_limit, drain_grace: 0, max_attempts: 3, ..base.clone() },
+        Settings {
+            miss_policy: MissPolicy::Miss,
+            order_rate_limit: order_limit,
+            may_cancel: false,
+            ..base.clone()
+        },
+        Settings { may_prewarm: false, miss_policy: MissPolicy::Miss, must_subscribe: true, ..base.clone() },
+        Settings { may_hedge: true, max_attempts: 1, keep_alive: 0, ..base },
     ]
 }
 
@@ -206,9 +211,9 @@
     let to = worker(1).id;
     let send = |id: &str| Action::Send { request: id.into(), worker: to.clone(), timeout: S };
     let refuse = Action::Refuse { request: "r".into(), retry_after: None };
-    let order_limit = Some(OrderRation { window: S, free: 1.0, per_request: 0.0 });
+    let order_limit = Some(OrderRateLimit { window: S, base_orders: 1.0, per_request: 0.0 });
     let start = |class| {
-        let mut checker = Checker::new(Settings { ration: order_limit, ..settings() });
+        let mut checker = Checker::new(Settings { order_rate_limit: order_limit, ..settings() });
         checker.event(0, &workers(2));
         checker.event(0, &Event::Arrived(request("r", class, "f")));
         checker
@@ -235,7 +240,7 @@
 
     let mut drained = start(0);
     let entry = WorkerEntry { state: WorkerState::Draining, ..worker(1) };
-    drained.event(0, &Event::List(ListNews::Changes(vec![entry])));
+    drained.event(0, &Event::List(WorkerListUpdate::Changes(vec![entry])));
     drained.action(2 * S, &send("r"));
     let prewarm = Action::Hold { worker: to.clone(), function: "f".into(), count: 1 };
     drained.action(2 * S, &prewarm);
@@ -243,7 +248,7 @@
 
     let mut cold = start(0);
     let entry = WorkerEntry { started: Some(1), ..worker(1) };
-    cold.event(0, &Event::List(ListNews::Changes(vec![entry])));
+    cold.event(0, &Event::List(WorkerListUpdate::Changes(vec![entry])));
     for number in 0..60 {
         let id = format!("c{number}");
         cold.event(0, &Event::Arrived(request(&id, 0, "f")));
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -37,14 +37,14 @@
 /// the gateways are configured with this count of gateways.
 fn peak_load(configured_gateways: u32) -> f64 {
     let settings = Settings { gateways: configured_gateways, ..settings() };
-    let cold = settings.cold;
+    let cold = settings.cold_start;
     let mut gateways: Vec<Harness> =
         (0..GATEWAYS).map(|n| Harness::seeded(settings.clone(), n as u64)).collect();
     let start = S;
     let entry = WorkerEntry { started: Some(start), ..worker(1) };
     for gateway in &mut gateways {
         gateway.now = start;
-        gateway.handle(Event::List(ListNews::Whole(vec![entry.clone()])));
+        gateway.handle(Event::List(WorkerListUpdate::Complete(vec![entry.clone()])));
     }
     let mut calls = call_generator();
     let mut sent: VecDeque<Micros> = VecDeque::new();
@@ -72,12 +72,13 @@
                 pending.insert((now + 100 * MS, n, request), worker);
             }
         }
-        while sent.front().is_some_and(|at| at + cold.window < now) {
+        while sent.front().is_some_and(|at| at + cold.overload_window < now) {
             sent.pop_front();
         }
         let age = (now - start).min(cold.warm_up) as f64 / cold.warm_up as f64;
-        let capacity = CAPACITY * (cold.from + (1.0 - cold.from) * age);
-        peak = peak.max(sent.len() as f64 / (cold.multiple * capacity * cold.window as f64 / 1e6));
+        let capacity = CAPACITY * (cold.initial_share + (1.0 - cold.initial_share) * age);
+        peak = peak
+            .max(sent.len() as f64 / (cold.overload_multiple * capacity * cold.overload_window as f64 / 1e6));
     }
     assert!(number > 500, "the simulation has traffic");
     peak
@@ -216,10 +217,10 @@
             configured_gateways: gateways,
             capacity,
             base_load: 0.9,
-            learning_time: settings().cold.warm_up * 3 / 2,
+            learning_time: settings().cold_start.warm_up * 3 / 2,
             list_delay: 0,
             start_error: 0,
-            spike_after: settings().cold.window,
+            spike_after: settings().cold_start.overload_window,
             spike_load: 3.0,
             warm_leave: false,
             restarted: false,
@@ -233,8 +234,9 @@
     }
 
     fn simulate(&self) -> ColdLoad {
-        let settings = Settings { gateways: self.configured_gateways as u32, may_order: false, ..settings() };
-        let cold = settings.cold;
+        let settings =
+            Settings { gateways: self.configured_gateways as u32, may_prewarm: false, ..settings() };
+        let cold = settings.cold_start;
         let mut rng = Pcg32::new(self.seed, 41);
         let weights = self.traffic_weights(&mut rng);
         let total_weight: f64 = weights.iter().sum();
@@ -269,14 +271,14 @@
                 let (_, n, id, attempt) = key;
                 let answered = outcome == Outcome::Ok;
                 in_flight.entry(to.clone()).and_modify(|busy| *busy -= usize::from(answered));
-                let event = Event::Ended {
+                let event = Event::AttemptEnded {
                     request: id,
                     attempt,
                     worker: to,
                     outcome,
                     elapsed: if answered { run_time } else { STEP },
                     answered,
-                    crowd: None,
+                    worker_in_flight: None,
                     load_failed: false,
                 };
                 actions.extend(gateways[n].handle(now, event).into_iter().map(|a| (n, a)));
@@ -290,13 +292,13 @@
                         WorkerEntry { started: start, ..worker(number) }
                     };
                     let entries = (WARM + 1..=WARM + COLD).map(started).collect();
-                    let event = Event::List(ListNews::Changes(entries));
+                    let event = Event::List(WorkerListUpdate::Changes(entries));
                     actions.extend(gateway.handle(now, event).into_iter().map(|a| (n, a)));
                 }
                 let spike_at = start + self.spike_after;
                 if self.warm_leave && spike_at <= now && now < spike_at + STEP {
-                    let out = |number| WorkerEntry { state: WorkerState::Out, ..worker(number) };
-                    let event = Event::List(ListNews::Changes((1..=WARM).map(out).collect()));
+                    let out = |number| WorkerEntry { state: WorkerState::OutOfService, ..worker(number) };
+                    let event = Event::List(WorkerListUpdate::Changes((1..=WARM).map(out).collect()));
                     actions.extend(gateway.handle(now, event).into_iter().map(|a| (n, a)));
                 }
                 if gateway.wake.is_some_and(|at| at <= now) {
@@ -341,8 +343,8 @@
         }
         let peak = cold_sends.iter().map(|sends| self.peak(sends, start, &cold)).fold(0.0, f64::max);
         let sent: usize = cold_sends.iter().map(Vec::len).sum();
-        let mean_fraction = (1.0 + cold.from) / 2.0;
-        let allowed = cold.multiple * self.capacity * mean_fraction * cold.warm_up as f64 / 1e6;
+        let mean_fraction = (1.0 + cold.initial_share) / 2.0;
+        let allowed = cold.overload_multiple * self.capacity * mean_fraction * cold.warm_up as f64 / 1e6;
         ColdLoad { peak, utilization: sent as f64 / COLD as f64 / allowed }
     }
 
@@ -353,14 +355,14 @@
         let (mut peak, mut first, mut notified) = (0.0f64, 0, 0usize);
         for (last, send) in sends.iter().enumerate() {
             notified += usize::from(send.notified);
-            while sends[first].at + cold.window < send.at {
+            while sends[first].at + cold.overload_window < send.at {
                 notified -= usize::from(sends[first].notified);
                 first += 1;
             }
             let sent = last + 1 - first;
             let age = (send.at - start) as f64 / cold.warm_up as f64;
-            let capacity = self.capacity * (cold.from + (1.0 - cold.from) * age.min(1.0));
-            let allowed = cold.multiple * capacity * cold.window as f64 / 1e6;
+            let capacity = self.capacity * (cold.initial_share + (1.0 - cold.initial_share) * age.min(1.0));
+            let allowed = cold.overload_multiple * capacity * cold.overload_window as f64 / 1e6;
             if 3 * notified > 2 * sent {
                 peak = peak.max(sent as f64 / (allowed + 2.0 * allowed.sqrt() + 2.0));
             }
