--- a/crates/admission/src/descriptors.rs
+++ b/crates/admission/src/descriptors.rs
@@ -3,7 +3,7 @@
 
 /// Inputs of the descriptor budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Budget {
+pub struct DescriptorBudget {
     /// Descriptors that a process may open.
     pub limit: usize,
     /// Workers that are known or expected.
@@ -20,16 +20,16 @@
 
 /// How client connections are split between processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Parts {
+pub struct ConnectionSplit {
     /// Acceptor processes, which only hold client connections; 0: the gateway process holds them itself.
-    pub holders: usize,
+    pub acceptors: usize,
     /// Connection limit of each process.
     pub each: usize,
     /// The total connection limit, if it is less than was asked for.
-    pub short: Option<usize>,
+    pub reduced_to: Option<usize>,
 }
 
-impl Budget {
+impl DescriptorBudget {
     /// Descriptors reserved in the process that connects to workers. With a small limit at most half of it,
     /// so that some clients can connect however long the worker list is.
     pub fn reserved(&self) -> usize {
@@ -44,7 +44,7 @@
 
     /// Splits the connections over `holders` acceptor processes. With `None`, over as few as can hold them,
     /// and over none if the gateway process can hold all.
-    pub fn spread(&self, connections: usize, holders: Option<usize>) -> Parts {
+    pub fn split(&self, connections: usize, holders: Option<usize>) -> ConnectionSplit {
         let per_acceptor = self.limit.saturating_sub(OWN_DESCRIPTORS).max(1);
         let needed = connections.div_ceil(per_acceptor);
         let holders = match holders {
@@ -58,7 +58,7 @@
             0 => (connections.min(self.own_capacity()), self.own_capacity()),
             n => (connections.div_ceil(n).min(per_acceptor), per_acceptor.saturating_mul(n)),
         };
-        Parts { holders, each, short: (total < connections).then_some(total) }
+        ConnectionSplit { acceptors: holders, each, reduced_to: (total < connections).then_some(total) }
     }
 }
 
@@ -66,25 +66,34 @@
 mod tests {
     use super::*;
 
-    const BUDGET: Budget = Budget { limit: 20_000, workers: 64, per_worker: 4 };
+    const BUDGET: DescriptorBudget = DescriptorBudget { limit: 20_000, workers: 64, per_worker: 4 };
 
     #[test]
     fn connections_stay_in_the_gateway_process_if_they_fit_and_else_use_the_fewest_acceptors() {
-        assert_eq!(BUDGET.spread(10_000, None), Parts { holders: 0, each: 10_000, short: None });
-        assert_eq!(BUDGET.spread(19_720, None).holders, 0);
-        assert_eq!(BUDGET.spread(19_721, None).holders, 1);
-        assert_eq!(BUDGET.spread(100_000, None), Parts { holders: 6, each: 16_667, short: None });
-        assert_eq!(BUDGET.spread(100_000, Some(8)).each, 12_500);
-        assert_eq!(BUDGET.spread(100_000, Some(2)).short, Some(39_952));
+        assert_eq!(
+            BUDGET.split(10_000, None),
+            ConnectionSplit { acceptors: 0, each: 10_000, reduced_to: None }
+        );
+        assert_eq!(BUDGET.split(19_720, None).acceptors, 0);
+        assert_eq!(BUDGET.split(19_721, None).acceptors, 1);
+        assert_eq!(
+            BUDGET.split(100_000, None),
+            ConnectionSplit { acceptors: 6, each: 16_667, reduced_to: None }
+        );
+        assert_eq!(BUDGET.split(100_000, Some(8)).each, 12_500);
+        assert_eq!(BUDGET.split(100_000, Some(2)).reduced_to, Some(39_952));
     }
 
     #[test]
     fn a_small_descriptor_limit_is_split_between_clients_and_workers() {
-        let tiny = Budget { limit: 64, ..BUDGET };
+        let tiny = DescriptorBudget { limit: 64, ..BUDGET };
         assert_eq!((tiny.reserved(), tiny.own_capacity()), (32, 32));
-        assert_eq!(tiny.spread(10_000, None), Parts { holders: 0, each: 32, short: Some(32) });
+        assert_eq!(
+            tiny.split(10_000, None),
+            ConnectionSplit { acceptors: 0, each: 32, reduced_to: Some(32) }
+        );
         for limit in 0..200 {
-            let budget = Budget { limit, ..BUDGET };
+            let budget = DescriptorBudget { limit, ..BUDGET };
             assert!(budget.reserved() + budget.own_capacity() == limit);
         }
     }
--- a/crates/admission/src/door.rs
+++ b/crates/admission/src/door.rs
@@ -17,7 +17,7 @@
 
 /// Limits of client connections. Times are microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct DoorLimits {
+pub struct ConnectionLimits {
     /// Concurrent connections.
     pub connections: usize,
     /// Rate at which connections are accepted. The burst is a tenth of a second's, and at least 64.
@@ -51,7 +51,7 @@
     pub leave_over: Micros,
 }
 
-impl Default for DoorLimits {
+impl Default for ConnectionLimits {
     fn default() -> Self {
         const S: Micros = 1_000_000;
         Self {
@@ -75,29 +75,29 @@
 
 /// What was observed on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sign {
+pub enum ConnectionEvent {
     /// Bytes were received; this many of them belong to a partial message.
-    Heard(usize),
+    Received(usize),
     /// The client does not read: its output backlog is too large.
     Stalled,
     /// The client reads again.
-    Reads,
+    Resumed,
 }
 
 /// Decision about a new connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Arrival {
+pub enum Admission {
     /// It is accepted.
-    Welcome,
+    Accept,
     /// It is accepted, and the connection in this slot is evicted for it.
-    Instead(usize),
+    AcceptEvicting(usize),
     /// It is rejected for this reason.
-    Away(&'static str),
+    Reject(&'static str),
 }
 
 /// What to do with a connection whose timer has expired or that has to be asked to leave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Act {
+pub enum ConnectionAction {
     /// Close it, for this reason.
     Close(usize, &'static str),
     /// Ping it.
@@ -108,7 +108,7 @@
 
 /// Counters since the start, and current numbers of connections.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct DoorCounts {
+pub struct ConnectionCounts {
     /// Connections now.
     pub connections: usize,
     /// Those without an open request.
@@ -245,8 +245,8 @@
 
 /// Decides which connections stay. Connections are named by their slots.
 #[derive(Clone, Debug)]
-pub struct Door {
-    limits: DoorLimits,
+pub struct ConnectionLimiter {
+    limits: ConnectionLimits,
     timers: TimerQueues,
     /// The connections of `PARTIAL` again, ordered by when bytes were last received.
     silence_timers: TimerQueues,
@@ -282,18 +282,18 @@
 }
 
 /// Connections that may be accepted at once.
-fn accept_burst(limits: &DoorLimits) -> u64 {
+fn accept_burst(limits: &ConnectionLimits) -> u64 {
     (limits.accepts_per_s / 10).max(64)
 }
 
 /// Pings sent together: those of a quarter of a second.
-fn ping_batch(limits: &DoorLimits) -> u64 {
+fn ping_batch(limits: &ConnectionLimits) -> u64 {
     (limits.pings_per_s / 4).max(1)
 }
 
-impl Door {
+impl ConnectionLimiter {
     /// Starts without connections.
-    pub fn new(now: Micros, limits: DoorLimits) -> Self {
+    pub fn new(now: Micros, limits: ConnectionLimits) -> Self {
         let mut limiter = Self {
             limits,
             timers: TimerQueues::new(now, &[0; QUEUES]),
@@ -336,7 +336,7 @@
     }
 
     /// Sets new limits. If there are more connections than they allow, the longest idle are asked to leave.
-    pub fn set_limits(&mut self, now: Micros, limits: DoorLimits) {
+    pub fn set_limits(&mut self, now: Micros, limits: ConnectionLimits) {
         self.limits = limits;
         self.set_timeouts();
         self.accept_rate.set_rate(now, limits.accepts_per_s, accept_burst(&limits));
@@ -412,14 +412,14 @@
 
     /// Decides about a new connection. At the connection limit, only a connection that `is_quiet` is evicted:
     /// one without received bytes that are still to be handled.
-    pub fn arrives(
+    pub fn admit(
         &mut self,
         now: Micros,
         slot: usize,
         address: IpAddr,
         http: bool,
         is_quiet: impl FnMut(usize) -> bool,
-    ) -> Arrival {
+    ) -> Admission {
         self.arrived += 1;
         self.accept_rate.try_take(now);
         if slot >= self.connections.len() {
@@ -434,7 +434,7 @@
             Err(reason) => {
                 self.addresses.leave(address_group);
                 self.count_closed(reason);
-                return Arrival::Away(reason);
+                return Admission::Reject(reason);
             }
         };
         self.connections[slot] = ConnectionState { address_group, http, connected: true, ..VACANT };
@@ -443,9 +443,9 @@
         match evicted {
             Some(evicted) => {
                 self.count_closed("room-needed");
-                Arrival::Instead(evicted)
+                Admission::AcceptEvicting(evicted)
             }
-            None => Arrival::Welcome,
+            None => Admission::Accept,
         }
     }
 
@@ -538,29 +538,29 @@
     }
 
     /// Updates the state of a connection by what was observed on it.
-    pub fn sign(&mut self, now: Micros, slot: usize, sign: Sign) {
+    pub fn on_event(&mut self, now: Micros, slot: usize, sign: ConnectionEvent) {
         let Some(connection) = self.connection_mut(slot) else { return };
         match sign {
-            Sign::Heard(partial_bytes) => {
+            ConnectionEvent::Received(partial_bytes) => {
                 let partial_bytes = u32::try_from(partial_bytes).unwrap_or(u32::MAX);
                 let before = std::mem::replace(&mut connection.partial_bytes, partial_bytes);
                 self.partial_bytes = self.partial_bytes - before as usize + partial_bytes as usize;
                 // Restarts the timer of its silence.
                 self.silence_timers.remove(slot);
             }
-            Sign::Stalled => connection.stalled = true,
-            Sign::Reads => connection.stalled = false,
+            ConnectionEvent::Stalled => connection.stalled = true,
+            ConnectionEvent::Resumed => connection.stalled = false,
         }
         self.update_timers(now, slot);
     }
 
     /// The partial message is complete; the timeout of the next one starts with its own first byte.
-    pub fn whole(&mut self, now: Micros, slot: usize) {
-        self.sign(now, slot, Sign::Heard(0));
+    pub fn on_message_complete(&mut self, now: Micros, slot: usize) {
+        self.on_event(now, slot, ConnectionEvent::Received(0));
     }
 
     /// A connection sent a request that will be answered.
-    pub fn asks(&mut self, now: Micros, slot: usize, tenant: &str) {
+    pub fn on_request(&mut self, now: Micros, slot: usize, tenant: &str) {
         let Some(connection) = self.connection_mut(slot) else { return };
         connection.open_requests += 1;
         let before = connection.tenant_group;
@@ -578,13 +578,13 @@
     }
 
     /// A request was answered.
-    pub fn answered(&mut self, now: Micros, slot: usize) {
+    pub fn on_answer(&mut self, now: Micros, slot: usize) {
         self.connection_mut(slot).into_iter().for_each(|connection| connection.never_answered = false);
-        self.called_off(now, slot);
+        self.on_cancel(now, slot);
     }
 
     /// A request was canceled.
-    pub fn called_off(&mut self, now: Micros, slot: usize) {
+    pub fn on_cancel(&mut self, now: Micros, slot: usize) {
         let Some(connection) = self.connection_mut(slot) else { return };
         connection.open_requests = connection.open_requests.saturating_sub(1);
         if connection.open_requests == 0 {
@@ -606,7 +606,7 @@
     }
 
     /// A connection was closed. False: the slot was vacant.
-    pub fn left(&mut self, slot: usize) -> bool {
+    pub fn on_closed(&mut self, slot: usize) -> bool {
         let Some(connection) = self.connection_mut(slot).copied() else { return false };
         self.remove_timers(slot);
         self.addresses.leave(connection.address_group);
@@ -621,7 +621,7 @@
 
     /// The next action that is due; each is returned once. A connection that is to be closed counts until
     /// `left` is called for it, as for any other.
-    pub fn act(&mut self, now: Micros) -> Option<Act> {
+    pub fn next_action(&mut self, now: Micros) -> Option<ConnectionAction> {
         if let Some(act) = self.drain_next(now) {
             return Some(act);
         }
@@ -663,7 +663,7 @@
         // Only bytes received from the client make the connection count as idle again.
         self.timers.insert(now, slot, PINGED);
         self.pings_sent += 1;
-        Some(Act::Ping(slot))
+        Some(ConnectionAction::Ping(slot))
     }
 
     /// If there are more partial messages than allowed: the connections that may be closed for that, longest
@@ -676,13 +676,13 @@
             .filter_map(|slot| Some((slot, self.timers.since(slot)?.saturating_add(self.limits.evict_after))))
     }
 
-    fn close(&mut self, slot: usize, reason: &'static str) -> Act {
+    fn close(&mut self, slot: usize, reason: &'static str) -> ConnectionAction {
         self.remove_timers(slot);
         self.count_closed(reason);
-        Act::Close(slot, reason)
+        ConnectionAction::Close(slot, reason)
     }
 
-    fn drain_next(&mut self, now: Micros) -> Option<Act> {
+    fn drain_next(&mut self, now: Micros) -> Option<ConnectionAction> {
         let drain = self.drain.as_mut()?;
         if drain.remaining == 0 {
             // While all are to leave, connections accepted meanwhile are asked as well.
@@ -716,7 +716,7 @@
         self.connections[slot].asked_to_leave = true;
         self.asked_to_leave += 1;
         self.update_timers(now, slot);
-        Some(Act::AskToLeave(slot))
+        Some(ConnectionAction::AskToLeave(slot))
     }
 
     /// The earliest time at which [`Door::act`] may return an action.
@@ -754,13 +754,13 @@
     }
 
     /// Number of connections.
-    pub fn here(&self) -> usize {
+    pub fn connection_count(&self) -> usize {
         self.connected
     }
 
     /// Counters, and current numbers of connections.
-    pub fn counts(&self) -> DoorCounts {
-        DoorCounts {
+    pub fn counts(&self) -> ConnectionCounts {
+        ConnectionCounts {
             connections: self.connected,
             idle: IDLE_QUEUES.iter().map(|queue| self.timers.len(*queue)).sum(),
             half: self.timers.len(PARTIAL),
--- a/crates/admission/src/intake.rs
+++ b/crates/admission/src/intake.rs
@@ -23,7 +23,7 @@
 
 /// Limits of the queue.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct IntakeLimits {
+pub struct CallQueueLimits {
     /// Calls that may wait.
     pub calls: usize,
     /// Calls started in one iteration of the event loop, so that answers are not held up.
@@ -31,38 +31,38 @@
     /// Part of a class's latency objective that a call may wait for.
     pub share: f64,
     /// The longest time for which clients are left unread.
-    pub hold: Micros,
+    pub max_unread: Micros,
     /// The shortest retry time of a rejected call.
-    pub return_after: Micros,
+    pub min_retry_after: Micros,
     /// The longest retry time of a rejected call.
-    pub most_return: Micros,
+    pub max_retry_after: Micros,
 }
 
-impl Default for IntakeLimits {
+impl Default for CallQueueLimits {
     fn default() -> Self {
         Self {
             calls: 20_000,
             per_turn: 64,
             share: 0.5,
-            hold: 1_000_000,
-            return_after: 1_000_000,
-            most_return: 30_000_000,
+            max_unread: 1_000_000,
+            min_retry_after: 1_000_000,
+            max_retry_after: 30_000_000,
         }
     }
 }
 
 /// What the priority of a class depends on.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
+pub struct ClassPriority {
     /// Latency objective: an answer within it has its full worth.
-    pub aim: Micros,
+    pub latency_objective: Micros,
     /// Worth of an answer.
     pub worth: f64,
 }
 
 /// A rejected call. No part of it has run.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Refused<T> {
+pub struct Rejected<T> {
     /// The call that was offered.
     pub call: T,
     /// The reason, as a key for clients.
@@ -73,13 +73,13 @@
 
 /// Result of offering a call.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Verdict<T> {
+pub enum OfferResult<T> {
     /// It is queued.
-    Waits,
+    Queued,
     /// A call is rejected: this one, or a queued call of a less urgent class, whose place it takes.
-    Refused(Refused<T>),
+    Rejected(Rejected<T>),
     /// A call with the same key is queued already.
-    Twice(T),
+    Duplicate(T),
 }
 
 /// Key of a call: its connection, and its number on that connection.
@@ -168,8 +168,8 @@
 const DECAY: f64 = 1.0 - 1.0 / 2_000.0;
 
 /// Queue of calls that wait to be started.
-pub struct Intake<T> {
-    limits: IntakeLimits,
+pub struct CallQueue<T> {
+    limits: CallQueueLimits,
     /// Most urgent first.
     queues: Vec<ClassQueue<T>>,
     /// Index in `queues` by class.
@@ -190,19 +190,19 @@
     last_retry_at: Micros,
 }
 
-impl<T> Intake<T> {
+impl<T> CallQueue<T> {
     /// An empty queue for these classes.
-    pub fn new(classes: &[Terms], limits: IntakeLimits) -> Self {
+    pub fn new(classes: &[ClassPriority], limits: CallQueueLimits) -> Self {
         let mut by_urgency: Vec<usize> = (0..classes.len()).collect();
         by_urgency.sort_by(|a, b| {
             let (a, b) = (&classes[*a], &classes[*b]);
-            a.aim.cmp(&b.aim).then(b.worth.total_cmp(&a.worth))
+            a.latency_objective.cmp(&b.latency_objective).then(b.worth.total_cmp(&a.worth))
         });
         let mut queue_of_class = vec![0; classes.len()];
         by_urgency.iter().enumerate().for_each(|(queue, class)| queue_of_class[*class] = queue);
         let queue = |class: &usize| ClassQueue {
             class: *class,
-            max_wait: (classes[*class].aim as f64 * limits.share) as Micros,
+            max_wait: (classes[*class].latency_objective as f64 * limits.share) as Micros,
             len: 0,
             by_tenant: BTreeMap::new(),
             round_robin: VecDeque::new(),
@@ -223,10 +223,10 @@
     }
 
     /// Sets new limits, also for calls that wait. The order of the classes stays as it was.
-    pub fn change(&mut self, classes: &[Terms], limits: IntakeLimits) {
+    pub fn change(&mut self, classes: &[ClassPriority], limits: CallQueueLimits) {
         self.limits = limits;
         for queue in &mut self.queues {
-            queue.max_wait = (classes[queue.class].aim as f64 * limits.share) as Micros;
+            queue.max_wait = (classes[queue.class].latency_objective as f64 * limits.share) as Micros;
         }
     }
 
@@ -245,13 +245,13 @@
     /// still wait.
     pub fn is_full(&self) -> bool {
         self.len >= self.limits.calls
-            || (self.read_lag < self.limits.hold && self.len > self.startable_in_time())
+            || (self.read_lag < self.limits.max_unread && self.len > self.startable_in_time())
     }
 
     /// Whether reading from clients may resume after the queue was full.
-    pub fn has_room(&self) -> bool {
+    pub fn may_resume_reading(&self) -> bool {
         self.len <= self.limits.calls / 2
-            && (self.read_lag >= self.limits.hold || self.len <= self.startable_in_time() / 2)
+            && (self.read_lag >= self.limits.max_unread || self.len <= self.startable_in_time() / 2)
     }
 
     /// Calls that can be started within the `max_wait` of the most urgent class.
@@ -284,9 +284,9 @@
         tenant: Option<usize>,
         arrived: Micros,
         call: T,
-    ) -> Verdict<T> {
+    ) -> OfferResult<T> {
         if self.waiting.contains_key(&key) {
-            return Verdict::Twice(call);
+            return OfferResult::Duplicate(call);
         }
         let queue = self.queue_of_class[class];
         let ahead: usize = self.queues[..=queue].iter().map(|queue| queue.len).sum();
@@ -297,22 +297,22 @@
         let has_waited = now.saturating_sub(arrived);
         self.read_lag = has_waited;
         if has_waited + expected_wait > self.queues[queue].max_wait && ahead >= self.limits.per_turn {
-            return Verdict::Refused(self.refuse(now, call));
+            return OfferResult::Rejected(self.refuse(now, call));
         }
         if self.len >= self.limits.calls {
             // A call of the least urgent class is rejected: this one, unless its own class is more urgent.
             let last = self.queues.iter().rposition(|queue| queue.len > 0);
             let displaced = last.filter(|last| *last > queue).and_then(|last| self.queues[last].pop_newest());
-            let Some(displaced) = displaced else { return Verdict::Refused(self.refuse(now, call)) };
+            let Some(displaced) = displaced else { return OfferResult::Rejected(self.refuse(now, call)) };
             self.len -= 1;
             self.enqueue(queue, key, tenant, arrived, call);
             if self.forget_waiting(&displaced) {
-                return Verdict::Refused(self.refuse(now, displaced.call));
+                return OfferResult::Rejected(self.refuse(now, displaced.call));
             }
-            return Verdict::Waits;
+            return OfferResult::Queued;
         }
         self.enqueue(queue, key, tenant, arrived, call);
-        Verdict::Waits
+        OfferResult::Queued
     }
 
     fn enqueue(&mut self, queue: usize, key: CallKey, tenant: Option<usize>, arrived: Micros, call: T) {
@@ -333,7 +333,7 @@
 
     /// An iteration of the event loop begins. The time since the last one counts for the start rate if calls
     /// waited.
-    pub fn turn(&mut self, now: Micros) {
+    pub fn begin_iteration(&mut self, now: Micros) {
         if let Some(before) = self.measured_at {
             self.start_time += now.saturating_sub(before) as f64;
         }
@@ -342,7 +342,7 @@
 
     /// The next call to start, with the time of its arrival. To be called at most `per_turn` times in an
     /// iteration.
-    pub fn take(&mut self) -> Option<(CallKey, Micros, T)> {
+    pub fn take_next_to_start(&mut self) -> Option<(CallKey, Micros, T)> {
         loop {
             let queue = self.queues.iter_mut().find(|queue| queue.len > 0)?;
             let Some(next) = queue.pop() else { continue };
@@ -360,7 +360,7 @@
     }
 
     /// Rejects a call that has waited for longer than its class allows.
-    pub fn take_over(&mut self, now: Micros) -> Option<Refused<T>> {
+    pub fn reject_overdue(&mut self, now: Micros) -> Option<Rejected<T>> {
         for queue in 0..self.queues.len() {
             while let Some(overdue) = self.queues[queue].pop_overdue(now) {
                 self.len -= 1;
@@ -373,24 +373,24 @@
     }
 
     /// Cancels a call. True: it was queued, and will not be returned any more.
-    pub fn call_off(&mut self, key: CallKey) -> bool {
+    pub fn cancel(&mut self, key: CallKey) -> bool {
         self.waiting.remove(&key).is_some()
     }
 
     /// Cancels all calls of a connection that was closed.
-    pub fn left(&mut self, connection: u64) {
+    pub fn cancel_connection(&mut self, connection: u64) {
         let of_connection = self.waiting.range((connection, 0)..=(connection, u64::MAX));
         let keys: Vec<CallKey> = of_connection.map(|(key, _)| *key).collect();
         keys.iter().for_each(|key| _ = self.waiting.remove(key));
     }
 
-    fn refuse(&mut self, now: Micros, call: T) -> Refused<T> {
-        Refused { call, reason: "busy", retry_after: self.next_retry_after(now) }
+    fn refuse(&mut self, now: Micros, call: T) -> Rejected<T> {
+        Rejected { call, reason: "busy", retry_after: self.next_retry_after(now) }
     }
 
     /// Spaces retry times evenly, so that the retries do not arrive together.
     fn next_retry_after(&mut self, now: Micros) -> Micros {
-        let (earliest, latest) = (now + self.limits.return_after, now + self.limits.most_return);
+        let (earliest, latest) = (now + self.limits.min_retry_after, now + self.limits.max_retry_after);
         let interval = (1e6 / (self.rate() * self.limits.share).max(1.0)).ceil() as Micros;
         // After the latest time it starts over: the retries given first have arrived, or the span is too
         // short anyway.
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -17,8 +17,10 @@
 mod pace;
 mod spans;
 
-pub use descriptors::{Budget, Parts};
-pub use door::{Act, Arrival, Door, DoorCounts, DoorLimits, Sign};
-pub use intake::{Intake, IntakeLimits, Refused, Terms, Verdict};
+pub use descriptors::{ConnectionSplit, DescriptorBudget};
+pub use door::{
+    Admission, ConnectionAction, ConnectionCounts, ConnectionEvent, ConnectionLimiter, ConnectionLimits,
+};
+pub use intake::{CallQueue, CallQueueLimits, ClassPriority, OfferResult, Rejected};
 pub use pace::TokenBucket;
 pub use spans::TimerQueues;
--- a/crates/admission/tests/intake.rs
+++ b/crates/admission/tests/intake.rs
@@ -2,63 +2,64 @@
 
 use std::collections::BTreeSet;
 
-use cresswheel_admission::{Intake, IntakeLimits, Terms, Verdict};
+use cresswheel_admission::{CallQueue, CallQueueLimits, ClassPriority, OfferResult};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
 const MS: u64 = 1_000;
 const S: u64 = 1_000_000;
 /// Balance checks, estimates, payment posts.
-const CLASSES: [Terms; 3] = [
-    Terms { aim: 600 * MS, worth: 2.0 },
-    Terms { aim: 1_200 * MS, worth: 3.0 },
-    Terms { aim: 600 * MS, worth: 3.0 },
+const CLASSES: [ClassPriority; 3] = [
+    ClassPriority { latency_objective: 600 * MS, worth: 2.0 },
+    ClassPriority { latency_objective: 1_200 * MS, worth: 3.0 },
+    ClassPriority { latency_objective: 600 * MS, worth: 3.0 },
 ];
 const CHECK: usize = 0;
 const ESTIMATE: usize = 1;
 const POST: usize = 2;
 
-fn queue(limits: IntakeLimits) -> Intake<u64> {
-    Intake::new(&CLASSES, limits)
+fn queue(limits: CallQueueLimits) -> CallQueue<u64> {
+    CallQueue::new(&CLASSES, limits)
 }
 
 /// Starts one call per millisecond, so that the queue has a measured start rate.
-fn measure_rate(queue: &mut Intake<u64>, now: &mut u64, calls: u64) {
+fn measure_rate(queue: &mut CallQueue<u64>, now: &mut u64, calls: u64) {
     for n in 0..calls {
-        queue.turn(*now);
-        assert_eq!(queue.offer(*now, (u64::MAX, n), POST, None, *now, n), Verdict::Waits);
-        queue.turn(*now);
+        queue.begin_iteration(*now);
+        assert_eq!(queue.offer(*now, (u64::MAX, n), POST, None, *now, n), OfferResult::Queued);
+        queue.begin_iteration(*now);
         *now += MS;
-        queue.turn(*now);
-        assert!(queue.take().is_some());
+        queue.begin_iteration(*now);
+        assert!(queue.take_next_to_start().is_some());
     }
-    queue.turn(*now);
+    queue.begin_iteration(*now);
     assert!((900.0..1_100.0).contains(&queue.rate()), "{}", queue.rate());
 }
 
 #[test]
 fn classes_are_ordered_by_objective_and_then_by_worth() {
-    let mut queue = queue(IntakeLimits::default());
+    let mut queue = queue(CallQueueLimits::default());
     let classes = [ESTIMATE, CHECK, POST, ESTIMATE, POST, CHECK];
     for (n, class) in classes.into_iter().enumerate() {
-        assert_eq!(queue.offer(0, (1, n as u64), class, None, 0, n as u64), Verdict::Waits);
+        assert_eq!(queue.offer(0, (1, n as u64), class, None, 0, n as u64), OfferResult::Queued);
     }
-    let order: Vec<usize> = std::iter::from_fn(|| queue.take()).map(|(.., n)| classes[n as usize]).collect();
+    let order: Vec<usize> =
+        std::iter::from_fn(|| queue.take_next_to_start()).map(|(.., n)| classes[n as usize]).collect();
     assert_eq!(order, [POST, POST, CHECK, CHECK, ESTIMATE, ESTIMATE]);
 }
 
 #[test]
 fn a_tenant_with_many_calls_does_not_delay_other_tenants() {
-    let mut queue = queue(IntakeLimits::default());
+    let mut queue = queue(CallQueueLimits::default());
     (0..50).for_each(|n| _ = queue.offer(0, (1, n), CHECK, Some(0), 0, n));
     (50..52).for_each(|n| _ = queue.offer(0, (2, n), CHECK, Some(1), 0, n));
-    let first: Vec<u64> = (0..4).filter_map(|_| queue.take()).map(|(.., n)| n).collect();
+    let first: Vec<u64> = (0..4).filter_map(|_| queue.take_next_to_start()).map(|(.., n)| n).collect();
     assert_eq!(first, [0, 50, 1, 51]);
 }
 
 #[test]
 fn a_call_that_can_not_start_in_time_is_rejected_on_arrival_with_its_own_retry_time() {
-    let mut queue = queue(IntakeLimits { per_turn: 1, ..IntakeLimits::default() });
+    let mut queue = queue(CallQueueLimits { per_turn: 1, ..CallQueueLimits::default() });
     let mut now = S;
     measure_rate(&mut queue, &mut now, 300);
     // At 1000 calls per second, and a maximum wait of half of 600 ms, 300 can start in time. Calls are
@@ -66,72 +67,75 @@
     let (mut waits, mut times) = (0u64, Vec::new());
     for n in 0..1_000 {
         match queue.offer(now, (1, n), CHECK, None, now, n) {
-            Verdict::Waits => waits += 1,
-            Verdict::Refused(refused) => {
+            OfferResult::Queued => waits += 1,
+            OfferResult::Rejected(refused) => {
                 assert_eq!((refused.reason, refused.call), ("busy", n));
                 times.push(refused.retry_after);
             }
-            Verdict::Twice(_) => panic!(),
+            OfferResult::Duplicate(_) => panic!(),
         }
     }
     assert!((550..650).contains(&waits), "{waits}");
-    assert!(queue.is_full() && !queue.has_room(), "more calls than can start in time: reading pauses");
+    assert!(
+        queue.is_full() && !queue.may_resume_reading(),
+        "more calls than can start in time: reading pauses"
+    );
     // The retries arrive at no more than half the start rate, and none within a second.
     assert!(times.windows(2).all(|pair| pair[1] > pair[0]) && times[0] >= S);
     let span = times.last().unwrap() - times[0];
     assert!((span as f64) > times.len() as f64 * 2_000.0 * 0.9, "{} within {span}", times.len());
     // Posts are still queued: no call of the same or higher urgency is ahead of them.
-    assert_eq!(queue.offer(now, (2, 0), POST, None, now, 0), Verdict::Waits);
+    assert_eq!(queue.offer(now, (2, 0), POST, None, now, 0), OfferResult::Queued);
 }
 
 #[test]
 fn a_full_queue_rejects_the_least_urgent_call() {
-    let mut queue = queue(IntakeLimits { calls: 4, ..IntakeLimits::default() });
+    let mut queue = queue(CallQueueLimits { calls: 4, ..CallQueueLimits::default() });
     (0..3).for_each(|n| _ = queue.offer(0, (1, n), ESTIMATE, None, 0, n));
-    assert!(!queue.is_full() && !queue.has_room());
+    assert!(!queue.is_full() && !queue.may_resume_reading());
     queue.offer(0, (1, 3), CHECK, None, 0, 3);
     assert!(queue.is_full());
-    let Verdict::Refused(refused) = queue.offer(0, (1, 4), POST, None, 0, 4) else { panic!() };
+    let OfferResult::Rejected(refused) = queue.offer(0, (1, 4), POST, None, 0, 4) else { panic!() };
     assert_eq!(refused.call, 2, "the newest estimate is rejected");
-    let Verdict::Refused(refused) = queue.offer(0, (1, 5), ESTIMATE, None, 0, 5) else { panic!() };
+    let OfferResult::Rejected(refused) = queue.offer(0, (1, 5), ESTIMATE, None, 0, 5) else { panic!() };
     assert_eq!(refused.call, 5, "the offered call is rejected");
     assert_eq!(queue.len(), 4);
 }
 
 #[test]
 fn reading_resumes_for_calls_that_were_left_unread_for_too_long() {
-    let mut queue = queue(IntakeLimits { per_turn: 1, ..IntakeLimits::default() });
+    let mut queue = queue(CallQueueLimits { per_turn: 1, ..CallQueueLimits::default() });
     let mut now = 10 * S;
     measure_rate(&mut queue, &mut now, 300);
     (0..400).for_each(|n| _ = queue.offer(now, (1, n), CHECK, None, now, n));
     assert!(queue.is_full());
     queue.offer(now, (1, 1_000), CHECK, None, now - S, 1_000);
-    assert!(!queue.is_full() && queue.has_room());
+    assert!(!queue.is_full() && queue.may_resume_reading());
 }
 
 #[test]
 fn a_call_that_has_waited_too_long_is_rejected_and_others_stay_queued() {
-    let mut queue = queue(IntakeLimits::default());
+    let mut queue = queue(CallQueueLimits::default());
     queue.offer(0, (1, 0), CHECK, None, 0, 0);
     queue.offer(200 * MS, (1, 1), CHECK, None, 200 * MS, 1);
     queue.offer(0, (1, 2), ESTIMATE, None, 0, 2);
-    let refused = queue.take_over(400 * MS).unwrap();
+    let refused = queue.reject_overdue(400 * MS).unwrap();
     assert_eq!(refused.call, 0);
-    assert!(queue.take_over(400 * MS).is_none(), "an estimate may wait for 600 ms");
+    assert!(queue.reject_overdue(400 * MS).is_none(), "an estimate may wait for 600 ms");
     assert_eq!(queue.len(), 2);
 }
 
 #[test]
 fn a_canceled_call_is_not_returned_and_its_key_can_be_used_again() {
-    let mut queue = queue(IntakeLimits::default());
+    let mut queue = queue(CallQueueLimits::default());
     queue.offer(0, (1, 7), CHECK, None, 0, 100);
-    assert_eq!(queue.offer(0, (1, 7), POST, None, 0, 101), Verdict::Twice(101));
-    assert!(queue.call_off((1, 7)) && !queue.call_off((1, 7)));
-    assert_eq!(queue.offer(0, (1, 7), CHECK, None, 0, 102), Verdict::Waits);
-    assert_eq!(queue.take().map(|(.., n)| n), Some(102));
+    assert_eq!(queue.offer(0, (1, 7), POST, None, 0, 101), OfferResult::Duplicate(101));
+    assert!(queue.cancel((1, 7)) && !queue.cancel((1, 7)));
+    assert_eq!(queue.offer(0, (1, 7), CHECK, None, 0, 102), OfferResult::Queued);
+    assert_eq!(queue.take_next_to_start().map(|(.., n)| n), Some(102));
     (0..3).for_each(|n| _ = queue.offer(0, (9, n), ESTIMATE, None, 0, n));
-    queue.left(9);
-    assert!(queue.take().is_none());
+    queue.cancel_connection(9);
+    assert!(queue.take_next_to_start().is_none());
 }
 
 #[derive(Clone, Debug)]
@@ -167,50 +171,50 @@
         steps in prop::collection::vec(step(), 1..300),
         calls in 1usize..40,
     ) {
-        let mut queue: Intake<(u64, u64)> =
-            Intake::new(&CLASSES, IntakeLimits { calls, per_turn: 4, ..IntakeLimits::default() });
+        let mut queue: CallQueue<(u64, u64)> =
+            CallQueue::new(&CLASSES, CallQueueLimits { calls, per_turn: 4, ..CallQueueLimits::default() });
         let mut queued = BTreeSet::new();
         let (mut now, mut next) = (10 * S, 0);
         for step in steps {
-            queue.turn(now);
+            queue.begin_iteration(now);
             match step {
                 Step::AdvanceClock(duration) => now += duration,
                 Step::Offer { connection, class, tenant, unread } => {
                     next += 1;
                     let key = (connection, next);
                     match queue.offer(now, key, class, tenant, now - unread, key) {
-                        Verdict::Waits => prop_assert!(queued.insert(key)),
-                        Verdict::Refused(refused) => {
+                        OfferResult::Queued => prop_assert!(queued.insert(key)),
+                        OfferResult::Rejected(refused) => {
                             prop_assert!(refused.call == key || queued.remove(&refused.call));
                             if refused.call != key {
                                 prop_assert!(queued.insert(key));
                             }
                             prop_assert!(refused.retry_after >= S && refused.retry_after <= 30 * S);
                         }
-                        Verdict::Twice(_) => prop_assert!(false, "the key is new"),
+                        OfferResult::Duplicate(_) => prop_assert!(false, "the key is new"),
                     }
                 }
                 Step::Take(most) => {
                     for _ in 0..most {
-                        let Some((key, _, call)) = queue.take() else { break };
+                        let Some((key, _, call)) = queue.take_next_to_start() else { break };
                         prop_assert!(key == call && queued.remove(&key), "{key:?} was not queued");
                     }
                 }
-                Step::RejectOverdue => while let Some(refused) = queue.take_over(now) {
+                Step::RejectOverdue => while let Some(refused) = queue.reject_overdue(now) {
                     prop_assert!(queued.remove(&refused.call));
                 },
                 Step::Cancel(connection, number) => {
-                    prop_assert_eq!(queue.call_off((connection, number)), queued.remove(&(connection, number)));
+                    prop_assert_eq!(queue.cancel((connection, number)), queued.remove(&(connection, number)));
                 }
                 Step::Disconnect(connection) => {
-                    queue.left(connection);
+                    queue.cancel_connection(connection);
                     queued.retain(|(of, _)| *of != connection);
                 }
             }
             // Canceled calls count until they reach the head of their queue.
             prop_assert!(queue.len() >= queued.len() && queue.len() <= calls);
         }
-        while let Some((key, ..)) = queue.take() {
+        while let Some((key, ..)) = queue.take_next_to_start() {
             prop_assert!(queued.remove(&key));
         }
         prop_assert!(queued.is_empty() && queue.is_empty());
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -124,7 +124,7 @@
         Command::Gateway { ref file } => gateway(file, &cli),
         Command::Platform { ref config } => platform(config),
         Command::Crowd(args) => peers::crowd(args, cli.tied),
-        Command::Hold => cresswheel_clients::trunk::hold().map(|()| ExitCode::SUCCESS),
+        Command::Hold => cresswheel_clients::trunk::run_acceptor().map(|()| ExitCode::SUCCESS),
         Command::Check { file } => match cresswheel_settings::read(&file) {
             Ok(settings) => {
                 println!("{}: sound; gateway {}", file.display(), settings.name);
--- a/crates/clients/src/clients.rs
+++ b/crates/clients/src/clients.rs
@@ -2,19 +2,19 @@
 
 use std::collections::VecDeque;
 
-use cresswheel_admission::{Arrival, Door, DoorCounts, Sign};
+use cresswheel_admission::{Admission, ConnectionCounts, ConnectionEvent, ConnectionLimiter};
 use cresswheel_protocol::http::Request;
 use cresswheel_protocol::{Message, Micros, Role, Status};
 use cresswheel_transport::{Connection, Hub, Notice, slot};
 
-use crate::ClientTerms;
+use crate::ClientLimits;
 use crate::http::{self, ParsedRequest};
-use crate::owed::{Outstanding, PendingResponse, answered_number};
+use crate::owed::{Outstanding, PendingResponse, answer_number};
 
 /// A client's request to the gateway: a `Call`, `Await`, `Cancel`, `Page` or `Versions`; or `Bye`: the
 /// connection is closed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct ClientRequest {
     /// The client's connection.
     pub connection: Connection,
     /// The earliest time at which it can have arrived.
@@ -61,11 +61,11 @@
 
 /// All client connections of one event loop.
 pub struct Clients {
-    pub(crate) terms: ClientTerms,
-    pub(crate) limiter: Door,
+    pub(crate) terms: ClientLimits,
+    pub(crate) limiter: ConnectionLimiter,
     /// By slot.
     pub(crate) states: Vec<State>,
-    requests: VecDeque<Ask>,
+    requests: VecDeque<ClientRequest>,
     http_listener: Option<u32>,
     /// All connections are asked to leave.
     pub(crate) draining: bool,
@@ -76,9 +76,9 @@
 
 impl Clients {
     /// Starts without connections. `http_listener` is the event loop's number of the listener for HTTP.
-    pub fn new(hub: &mut Hub, terms: ClientTerms, http_listener: Option<u32>) -> Self {
+    pub fn new(hub: &mut Hub, terms: ClientLimits, http_listener: Option<u32>) -> Self {
         hub.tell_halves();
-        let limiter = Door::new(hub.clock().now(), terms.door);
+        let limiter = ConnectionLimiter::new(hub.clock().now(), terms.door);
         Self {
             terms,
             limiter,
@@ -92,7 +92,7 @@
     }
 
     /// Sets new limits, also for existing connections.
-    pub fn change(&mut self, hub: &mut Hub, terms: ClientTerms) {
+    pub fn change(&mut self, hub: &mut Hub, terms: ClientLimits) {
         self.terms = terms;
         hub.set_limits(terms.hub());
         self.limiter.set_limits(hub.clock().now(), terms.door);
@@ -105,7 +105,7 @@
 
     /// Accepts the connections in the backlog, stops listening, and asks all connections to leave, spread
     /// over `leave_over`.
-    pub fn leave(&mut self, hub: &mut Hub) {
+    pub fn drain(&mut self, hub: &mut Hub) {
         self.draining = true;
         hub.accept_waiting();
         hub.stop_listening();
@@ -113,12 +113,12 @@
     }
 
     /// Counters of connections.
-    pub fn counts(&self) -> DoorCounts {
+    pub fn counts(&self) -> ConnectionCounts {
         self.limiter.counts()
     }
 
     /// Whether some connections are still to be asked to leave.
-    pub fn is_asking(&self) -> bool {
+    pub fn is_draining(&self) -> bool {
         self.limiter.is_draining()
     }
 
@@ -128,7 +128,7 @@
     }
 
     /// The next request of a client.
-    pub fn take_ask(&mut self) -> Option<Ask> {
+    pub fn take_request(&mut self) -> Option<ClientRequest> {
         self.requests.pop_front()
     }
 
@@ -138,25 +138,25 @@
         match notice {
             Notice::Opened(connection, listener) => self.on_opened(hub, connection, listener),
             Notice::Message(connection, message) if self.is_connected(connection) => {
-                self.limiter.whole(now, slot(connection));
+                self.limiter.on_message_complete(now, slot(connection));
                 if !self.states[slot(connection)].is_closing() {
                     self.on_message(hub, connection, message);
                 }
             }
             Notice::Request(connection, request) if self.is_connected(connection) => {
-                self.limiter.whole(now, slot(connection));
+                self.limiter.on_message_complete(now, slot(connection));
                 if !self.states[slot(connection)].is_closing() {
                     self.on_request(hub, connection, request);
                 }
             }
             Notice::BadRequest(connection, error) if self.is_connected(connection) => {
-                self.limiter.whole(now, slot(connection));
+                self.limiter.on_message_complete(now, slot(connection));
                 let response = http::text_response(error.status, error.reason, false);
                 self.respond_now(hub, connection, response, false);
             }
             Notice::Half(connection, partial_bytes) if self.is_connected(connection) => {
                 if !self.states[slot(connection)].is_closing() {
-                    self.limiter.sign(now, slot(connection), Sign::Heard(partial_bytes));
+                    self.limiter.on_event(now, slot(connection), ConnectionEvent::Received(partial_bytes));
                 }
             }
             Notice::Flushed(connection) if self.is_connected(connection) => self.on_flushed(hub, connection),
@@ -165,7 +165,7 @@
                 if self.is_connected(connection) {
                     self.open_requests =
                         self.open_requests.saturating_sub(self.limiter.open_requests(slot(connection)));
-                    self.limiter.left(slot(connection));
+                    self.limiter.on_closed(slot(connection));
                     self.states[slot(connection)] = State::default();
                     self.queue_request(hub.came(), connection, Message::Bye { reason: String::new() });
                 }
@@ -186,15 +186,15 @@
         let slot = slot(connection);
         let (now, states) = (hub.clock().now(), &self.states);
         let is_quiet = |slot: usize| states[slot].connection.is_none_or(|other| hub.is_quiet(other));
-        match self.limiter.arrives(now, slot, address.ip(), http, is_quiet) {
-            Arrival::Welcome => {}
-            Arrival::Instead(evicted) => {
+        match self.limiter.admit(now, slot, address.ip(), http, is_quiet) {
+            Admission::Accept => {}
+            Admission::AcceptEvicting(evicted) => {
                 self.states[evicted]
                     .connection
                     .into_iter()
                     .for_each(|evicted| hub.close(evicted, "room-needed"));
             }
-            Arrival::Away(why) => {
+            Admission::Reject(why) => {
                 tracing::debug!(%address, why, "connection rejected");
                 return hub.close(connection, why);
             }
@@ -206,7 +206,7 @@
     }
 
     fn queue_request(&mut self, arrived: Micros, connection: Connection, message: Message) {
-        self.requests.push_back(Ask { connection, came: arrived, message });
+        self.requests.push_back(ClientRequest { connection, came: arrived, message });
     }
 
     /// Queues a request that needs an answer. The limit keeps one connection from filling the queue of all
@@ -237,7 +237,7 @@
         // The gateway reports a number that is used twice.
         if outstanding.open_requests.insert(number) {
             self.open_requests += 1;
-            self.limiter.asks(hub.clock().now(), slot(connection), tenant);
+            self.limiter.on_request(hub.clock().now(), slot(connection), tenant);
         }
         self.queue_request(arrived, connection, message);
     }
@@ -251,7 +251,7 @@
         }
         state.free_if_idle();
         self.open_requests = self.open_requests.saturating_sub(1);
-        self.limiter.answered(hub.clock().now(), slot(connection));
+        self.limiter.on_answer(hub.clock().now(), slot(connection));
         true
     }
 
@@ -407,7 +407,7 @@
             return self.close_with_bye(hub, connection, reason);
         }
         // A request that was canceled while its answer was on the way gets no answer.
-        if answered_number(message).is_some_and(|number| self.close_request(hub, connection, number)) {
+        if answer_number(message).is_some_and(|number| self.close_request(hub, connection, number)) {
             self.send_answer(hub, connection, message);
             self.close_if_settled(hub, connection);
         }
--- a/crates/clients/src/closing.rs
+++ b/crates/clients/src/closing.rs
@@ -1,6 +1,6 @@
 //! Closing of client connections: on a timeout, if the client does not read, and when the gateway stops.
 
-use cresswheel_admission::{Act, Sign};
+use cresswheel_admission::{ConnectionAction, ConnectionEvent};
 use cresswheel_protocol::{Message, Micros};
 use cresswheel_transport::{Connection, Hub, slot};
 
@@ -11,10 +11,10 @@
     /// Does what the connection limits require now, and pauses or resumes accepting.
     pub fn tick(&mut self, hub: &mut Hub) {
         let now = hub.clock().now();
-        while let Some(act) = self.limiter.act(now) {
+        while let Some(act) = self.limiter.next_action(now) {
             match act {
-                Act::Close(slot, why) => self.on_timeout(hub, slot, why),
-                Act::Ping(slot) => {
+                ConnectionAction::Close(slot, why) => self.on_timeout(hub, slot, why),
+                ConnectionAction::Ping(slot) => {
                     let Some(connection) = self.states[slot].connection else { continue };
                     if hub.backlog(connection) > 0 {
                         hub.close(connection, "does-not-read");
@@ -22,17 +22,21 @@
                         hub.send(connection, &Message::Probe { number: 0 }, None);
                     }
                 }
-                Act::AskToLeave(slot) => self.ask_to_leave(hub, slot),
+                ConnectionAction::AskToLeave(slot) => self.ask_to_leave(hub, slot),
             }
         }
         let may_accept = self.limiter.may_accept(now);
         if may_accept.is_ok() {
-            hub.accept_at_once(self.terms.door.connections.saturating_sub(self.limiter.here()));
+            hub.accept_at_once(self.terms.door.connections.saturating_sub(self.limiter.connection_count()));
         }
         let listening = may_accept.is_ok() && !self.draining;
         if std::mem::replace(&mut self.listening, listening) != listening {
-            if !listening && !self.draining && self.limiter.here() >= self.terms.door.connections {
-                tracing::warn!(connections = self.limiter.here(), "accepting pauses: all places are taken");
+            if !listening && !self.draining && self.limiter.connection_count() >= self.terms.door.connections
+            {
+                tracing::warn!(
+                    connections = self.limiter.connection_count(),
+                    "accepting pauses: all places are taken"
+                );
             }
             hub.pause_listening(!listening);
         }
@@ -66,18 +70,18 @@
                 let restarts = backlog < stalled.backlog || has_open;
                 if restarts && total_backlog <= self.terms.door.half_bytes {
                     stalled.backlog = backlog;
-                    return self.limiter.sign(now, slot, Sign::Stalled);
+                    return self.limiter.on_event(now, slot, ConnectionEvent::Stalled);
                 }
             }
             (None, "half-sent" | "half-bytes") if has_open => {
-                self.limiter.sign(now, slot, Sign::Heard(0));
+                self.limiter.on_event(now, slot, ConnectionEvent::Received(0));
                 self.states[slot].outstanding.get_or_insert_default().close_reason = Some(why);
                 return;
             }
             (None, "half-sent" | "half-bytes") => {}
             (None, _) => {
                 if !hub.is_quiet(connection) {
-                    return self.limiter.sign(now, slot, Sign::Heard(0));
+                    return self.limiter.on_event(now, slot, ConnectionEvent::Received(0));
                 }
             }
         }
@@ -133,12 +137,12 @@
         } else {
             hub.tell_flushed(connection);
         }
-        self.limiter.sign(hub.clock().now(), slot(connection), Sign::Stalled);
+        self.limiter.on_event(hub.clock().now(), slot(connection), ConnectionEvent::Stalled);
     }
 
     /// The output backlog of a client is sent: the requests read ahead are handled.
     pub(crate) fn on_flushed(&mut self, hub: &mut Hub, connection: Connection) {
-        self.limiter.sign(hub.clock().now(), slot(connection), Sign::Reads);
+        self.limiter.on_event(hub.clock().now(), slot(connection), ConnectionEvent::Resumed);
         let state = &mut self.states[slot(connection)];
         let stalled = state.outstanding.as_mut().and_then(|outstanding| outstanding.stalled.take());
         state.free_if_idle();
--- a/crates/clients/src/lib.rs
+++ b/crates/clients/src/lib.rs
@@ -17,6 +17,6 @@
 mod terms;
 pub mod trunk;
 
-pub use clients::{Ask, Clients};
-pub use owed::{answered_number, asked_number};
-pub use terms::ClientTerms;
+pub use clients::{ClientRequest, Clients};
+pub use owed::{answer_number, request_number};
+pub use terms::ClientLimits;
--- a/crates/clients/src/owed.rs
+++ b/crates/clients/src/owed.rs
@@ -75,7 +75,7 @@
 
     /// Removes the request with this number. False: there is none.
     pub fn cancel(&mut self, number: u64) -> bool {
-        let position = self.messages.iter().position(|(_, message)| asked_number(message) == Some(number));
+        let position = self.messages.iter().position(|(_, message)| request_number(message) == Some(number));
         let Some((_, message)) = position.and_then(|position| self.messages.remove(position)) else {
             return false;
         };
@@ -99,7 +99,7 @@
 }
 
 /// The number of a request; `None` for a message that is no request.
-pub fn asked_number(message: &Message) -> Option<u64> {
+pub fn request_number(message: &Message) -> Option<u64> {
     match message {
         Message::Call { number, .. }
         | Message::Await { number, .. }
@@ -110,7 +110,7 @@
 }
 
 /// The number of the request that a message answers.
-pub fn answered_number(message: &Message) -> Option<u64> {
+pub fn answer_number(message: &Message) -> Option<u64> {
     match message {
         Message::Accepted { number, .. }
         | Message::Answer { number, .. }
--- a/crates/clients/src/terms.rs
+++ b/crates/clients/src/terms.rs
@@ -1,15 +1,15 @@
 //! Limits of client connections.
 
-use cresswheel_admission::DoorLimits;
+use cresswheel_admission::ConnectionLimits;
 use cresswheel_protocol::{Limits, http};
 use cresswheel_transport::HubLimits;
 use serde::{Deserialize, Serialize};
 
 /// Limits of client connections, in whichever process they are held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ClientTerms {
+pub struct ClientLimits {
     /// Limits and timeouts of connections.
-    pub door: DoorLimits,
+    pub door: ConnectionLimits,
     /// Backlog of output, in bytes, above which a client counts as not reading, and no more of its requests
     /// are handled.
     pub backlog: usize,
@@ -27,11 +27,11 @@
     pub out: usize,
 }
 
-impl Default for ClientTerms {
+impl Default for ClientLimits {
     fn default() -> Self {
         let hub = HubLimits::default();
         Self {
-            door: DoorLimits::default(),
+            door: ConnectionLimits::default(),
             backlog: 1 << 20,
             per_connection: 1_000,
             frame: hub.frame.frame,
@@ -43,7 +43,7 @@
     }
 }
 
-impl ClientTerms {
+impl ClientLimits {
     /// The limits that the event loop enforces.
     pub fn hub(&self) -> HubLimits {
         HubLimits {
--- a/crates/clients/src/trunk.rs
+++ b/crates/clients/src/trunk.rs
@@ -15,15 +15,15 @@
 };
 use serde::{Deserialize, Serialize};
 
-use crate::{ClientTerms, Clients};
+use crate::{ClientLimits, Clients};
 
 /// Configuration of an acceptor process: its first message from the gateway, sent again after each change.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Told {
+pub struct AcceptorConfig {
     /// Base of the gateway's clock.
     pub clock: Micros,
     /// Limits of client connections.
-    pub terms: ClientTerms,
+    pub terms: ClientLimits,
     /// Whether the second listener is for HTTP.
     pub http: bool,
     /// Whether another acceptor process is below its connection limit.
@@ -46,7 +46,7 @@
 const COUNTS_INTERVAL: Micros = 1_000_000;
 
 /// Sends listeners to the process at the other end.
-pub fn hand_over(trunk: &UnixStream, listeners: &[impl AsFd]) -> io::Result<()> {
+pub fn send_listeners(trunk: &UnixStream, listeners: &[impl AsFd]) -> io::Result<()> {
     let sockets: Vec<_> = listeners.iter().map(AsFd::as_fd).collect();
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_LISTENERS))];
     let mut control = SendAncillaryBuffer::new(&mut space);
@@ -75,7 +75,7 @@
 }
 
 /// Runs an acceptor process until its gateway exits. The trunk is its standard input.
-pub fn hold() -> anyhow::Result<()> {
+pub fn run_acceptor() -> anyhow::Result<()> {
     let trunk = io::stdin().as_fd().try_clone_to_owned()?;
     let listeners = receive_listeners(&trunk).context("standard input is not a socket of a gateway")?;
     anyhow::ensure!(
@@ -83,13 +83,13 @@
         "expected one or two listeners from the gateway"
     );
     // Nothing is accepted before the gateway has sent its clock and limits.
-    let mut hub = Hub::new(ClientTerms::default().hub())?;
+    let mut hub = Hub::new(ClientLimits::default().hub())?;
     let trunk = hub.adopt(trunk, Wire::Frames)?;
     let config = loop {
         hub.wait(None)?;
         match hub.take_notice() {
             Some(Notice::Message(_, Message::Terms { json })) => {
-                break serde_json::from_slice::<Told>(&json)?;
+                break serde_json::from_slice::<AcceptorConfig>(&json)?;
             }
             Some(Notice::Closed { why, .. }) => anyhow::bail!("the gateway closed the connection: {why}"),
             _ => {}
@@ -145,7 +145,7 @@
                 return Ok(());
             }
             // Connections that are still to be asked to leave are asked first.
-            let may_finish = self.finishing && !self.clients.is_asking();
+            let may_finish = self.finishing && !self.clients.is_draining();
             if may_finish && self.clients.finish_all(&mut self.hub) && self.hub.backlog(self.trunk) == 0 {
                 return Ok(());
             }
@@ -161,7 +161,7 @@
                 }
             }
             self.clients.tick(&mut self.hub);
-            while let Some(ask) = self.clients.take_ask() {
+            while let Some(ask) = self.clients.take_request() {
                 let (connection, came) = (ask.connection, ask.came);
                 self.hub.send(self.trunk, &Message::Of { connection, came }, None);
                 self.hub.send(self.trunk, &ask.message, None);
@@ -177,7 +177,7 @@
 
     fn send_counts(&mut self) -> anyhow::Result<()> {
         let now = self.hub.clock().now();
-        let draining = self.clients.is_asking();
+        let draining = self.clients.is_draining();
         // The gateway waits until all connections have been asked to leave, so a change is sent at once.
         let drain_changed = std::mem::replace(&mut self.draining, draining) != draining;
         if now < self.last_counts.0 + COUNTS_INTERVAL && !drain_changed {
@@ -208,13 +208,13 @@
         match message {
             Message::Of { connection, .. } => self.reply_to = Some(connection),
             Message::Terms { json } => {
-                let config: Told = serde_json::from_slice(&json)?;
+                let config: AcceptorConfig = serde_json::from_slice(&json)?;
                 self.clients.change(&mut self.hub, config.terms);
                 self.clients.set_capacity_elsewhere(config.room_elsewhere);
                 self.finishing |= config.finish;
             }
             Message::Leave {} => {
-                self.clients.leave(&mut self.hub);
+                self.clients.drain(&mut self.hub);
                 // Sends counts at once: the gateway needs to know that connections are still to be asked to
                 // leave.
                 self.last_counts = (0, Vec::new());
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -8,9 +8,9 @@
 use anyhow::Context;
 use calloop::signals::Signal;
 use cresswheel::Effect;
-use cresswheel_admission::{Budget, Intake, Parts, Verdict};
+use cresswheel_admission::{CallQueue, ConnectionSplit, DescriptorBudget, OfferResult};
 use cresswheel_carriers::{Cargo, CarrierLimits};
-use cresswheel_clients::{Ask, ClientTerms, Clients};
+use cresswheel_clients::{ClientLimits, ClientRequest, Clients};
 use cresswheel_engine::{Answer, Attempt, AttemptEnd, Call, Client, Engine, Input, OrderEnd, Output};
 use cresswheel_protocol::{Listed, Message, Micros, Origin, Role, Status};
 use cresswheel_transport::{Connection, Hub, Notice, Wire, listener};
@@ -56,8 +56,8 @@
     ready: Ready,
     clients: Clients,
     acceptors: Acceptors,
-    budget: Budget,
-    intake: Intake<QueuedCall>,
+    budget: DescriptorBudget,
+    intake: CallQueue<QueuedCall>,
     /// Calls started in this loop iteration.
     started: usize,
     /// Calls that the intake rejected, by class.
@@ -111,9 +111,9 @@
 }
 
 /// The terms for each process that holds client connections: its part of the gateway's limits.
-fn process_terms(terms: &ClientTerms, parts: Parts) -> ClientTerms {
+fn process_terms(terms: &ClientLimits, parts: ConnectionSplit) -> ClientLimits {
     let mut part = *terms;
-    let n = parts.holders.max(1) as u64;
+    let n = parts.acceptors.max(1) as u64;
     part.door.connections = parts.each;
     part.door.accepts_per_s = terms.door.accepts_per_s.div_ceil(n);
     part.door.half_bytes = terms.door.half_bytes.div_ceil(n as usize);
@@ -130,7 +130,7 @@
         let mut event_loop = Hub::new(settings.shell.clients.hub()).context("event loop")?;
         event_loop.signals(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP]).context("signals")?;
         event_loop.leave_within(LONG_ITERATION);
-        let budget = Budget {
+        let budget = DescriptorBudget {
             limit: raise_descriptor_limit(),
             workers: settings.workers.len().max(MIN_EXPECTED_WORKERS),
             per_worker: settings.shell.worker_connections,
@@ -144,18 +144,18 @@
         drop(at);
         let terms = process_terms(&settings.shell.clients, parts);
         let mut http_listener = None;
-        if parts.holders == 0 {
+        if parts.acceptors == 0 {
             for (socket, wire) in sockets.iter().zip([Wire::Frames, Wire::Http]) {
                 let number = event_loop.adopt_listener(socket.try_clone()?.into(), wire)?;
                 http_listener = Some(number).filter(|_| wire == Wire::Http).or(http_listener);
             }
         }
         let clients = Clients::new(&mut event_loop, terms, http_listener);
-        let acceptors = Acceptors::new(acceptor, sockets, terms, parts.holders);
+        let acceptors = Acceptors::new(acceptor, sockets, terms, parts.acceptors);
         let module = &settings.engine.dispatcher;
         let classes = module.classes.iter().enumerate().map(|(at, c)| (c.name.clone(), at)).collect();
         let tenants = module.tenants.iter().enumerate().map(|(at, t)| (t.name.clone(), at)).collect();
-        let intake = Intake::new(&settings.class_terms(), settings.shell.intake);
+        let intake = CallQueue::new(&settings.class_terms(), settings.shell.intake);
         let now = event_loop.clock().now();
         // The process id distinguishes gateways that start in the same microsecond.
         let incarnation = now.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ u64::from(std::process::id());
@@ -253,27 +253,27 @@
 
     /// Whether all calls are answered and all clients were asked to disconnect.
     fn is_drained(&self) -> bool {
-        let asking = self.clients.is_asking() || self.acceptors.counts().any(|counts| counts.asking);
+        let asking = self.clients.is_draining() || self.acceptors.counts().any(|counts| counts.asking);
         self.engine.open_calls() == 0 && self.intake.is_empty() && !asking
     }
 
     /// Starts queued calls in the order of their urgency, at most so many in one loop iteration, so that
     /// answers of workers are handled in between.
     fn start_calls(&mut self) {
-        self.intake.turn(self.event_loop.clock().now());
+        self.intake.begin_iteration(self.event_loop.clock().now());
         while self.started < self.intake.per_turn() {
-            let Some((_, arrived_at, queued)) = self.intake.take() else { break };
+            let Some((_, arrived_at, queued)) = self.intake.take_next_to_start() else { break };
             self.start_call(queued.client, arrived_at, queued.call);
         }
         self.started = 0;
-        while let Some(refused) = self.intake.take_over(self.event_loop.clock().now()) {
+        while let Some(refused) = self.intake.reject_overdue(self.event_loop.clock().now()) {
             self.refuse_busy(refused.call, refused.reason, refused.retry_after);
         }
         // Unread requests wait in kernel buffers, and their time keeps running.
         if self.intake.is_full() {
             self.event_loop.hold_guests(true);
             self.acceptors.pause(&mut self.event_loop, true);
-        } else if self.intake.has_room() {
+        } else if self.intake.may_resume_reading() {
             self.event_loop.hold_guests(false);
             self.acceptors.pause(&mut self.event_loop, false);
         }
@@ -299,7 +299,7 @@
 
     fn handle_notice(&mut self, notice: Notice) {
         let Some(notice) = self.clients.notice(&mut self.event_loop, notice) else {
-            while let Some(ask) = self.clients.take_ask() {
+            while let Some(ask) = self.clients.take_request() {
                 self.handle_request(ask.connection, ask);
             }
             return;
@@ -337,10 +337,10 @@
         tracing::info!(?signal, open = self.engine.open_calls(), "stopping");
         self.handle_input(Input::Drain);
         // The engine refuses queued calls now, like all new ones.
-        while let Some((_, arrived_at, queued)) = self.intake.take() {
+        while let Some((_, arrived_at, queued)) = self.intake.take_next_to_start() {
             self.start_call(queued.client, arrived_at, queued.call);
         }
-        self.clients.leave(&mut self.event_loop);
+        self.clients.drain(&mut self.event_loop);
         self.acceptors.drain(&mut self.event_loop);
         self.phase = Phase::Draining(self.event_loop.clock().now() + self.settings.shell.stop_within);
     }
@@ -357,13 +357,13 @@
                 }
                 self.engine.update_limits(&new.engine);
                 let mut parts = divide_connections(&self.budget, &new);
-                if parts.holders != self.acceptors.count() {
+                if parts.acceptors != self.acceptors.count() {
                     // The number of processes is fixed until a restart; it limits the connections.
                     parts =
-                        self.budget.spread(new.shell.clients.door.connections, Some(self.acceptors.count()));
+                        self.budget.split(new.shell.clients.door.connections, Some(self.acceptors.count()));
                     tracing::warn!(
-                        holders = parts.holders,
-                        short = parts.short,
+                        holders = parts.acceptors,
+                        short = parts.reduced_to,
                         "the number of acceptor processes stays as it is until a restart"
                     );
                 }
@@ -411,7 +411,7 @@
     }
 
     /// Handles a client's request.
-    fn handle_request(&mut self, key: ConnectionKey, ask: Ask) {
+    fn handle_request(&mut self, key: ConnectionKey, ask: ClientRequest) {
         match ask.message {
             Message::Call {
                 number,
@@ -447,7 +447,7 @@
             }
             Message::Cancel { number } => {
                 tracing::debug!(connection = key, number, "call canceled");
-                if !self.intake.call_off((key, number)) {
+                if !self.intake.cancel((key, number)) {
                     self.handle_input(Input::Cancel(Client { connection: key, number }));
                 }
             }
@@ -467,7 +467,7 @@
 
     fn client_left(&mut self, key: ConnectionKey) {
         tracing::debug!(connection = key, "client left");
-        self.intake.left(key);
+        self.intake.cancel_connection(key);
         self.handle_input(Input::Disconnected(key));
     }
 
@@ -484,11 +484,11 @@
         let tenant = self.tenants.get(&call.tenant).copied();
         let (now, name) = (self.event_loop.clock().now(), (client.connection, client.number));
         match self.intake.offer(now, name, class, tenant, arrived_at, QueuedCall { class, client, call }) {
-            Verdict::Waits => {}
-            Verdict::Refused(refused) => {
+            OfferResult::Queued => {}
+            OfferResult::Rejected(refused) => {
                 self.refuse_busy(refused.call, refused.reason, refused.retry_after);
             }
-            Verdict::Twice(duplicate) => {
+            OfferResult::Duplicate(duplicate) => {
                 self.close_client(duplicate.client.connection, "a number is used twice")
             }
         }
@@ -757,11 +757,11 @@
 }
 
 /// Divides the client connections among the processes; logs a warning if there are too few file descriptors.
-fn divide_connections(budget: &Budget, settings: &GatewaySettings) -> Parts {
+fn divide_connections(budget: &DescriptorBudget, settings: &GatewaySettings) -> ConnectionSplit {
     let asked = settings.shell.clients.door.connections;
-    let parts = budget.spread(asked, settings.holders);
-    let (limit, holders, each) = (budget.limit, parts.holders, parts.each);
-    if let Some(room) = parts.short {
+    let parts = budget.split(asked, settings.holders);
+    let (limit, holders, each) = (budget.limit, parts.acceptors, parts.each);
+    if let Some(room) = parts.reduced_to {
         tracing::warn!(
             asked,
             room,
--- a/crates/gateway/src/holders.rs
+++ b/crates/gateway/src/holders.rs
@@ -11,8 +11,8 @@
 use std::os::unix::net::UnixStream;
 use std::process::{Child, Command, Stdio};
 
-use cresswheel_admission::DoorCounts;
-use cresswheel_clients::{Ask, ClientTerms, answered_number, asked_number, trunk};
+use cresswheel_admission::ConnectionCounts;
+use cresswheel_clients::{ClientLimits, ClientRequest, answer_number, request_number, trunk};
 use cresswheel_protocol::{Message, Micros};
 use cresswheel_transport::{Connection, Hub, Notice, Wire};
 
@@ -33,7 +33,7 @@
     next_message: Option<(Connection, Micros)>,
     /// The numbers of unanswered requests, by connection.
     unanswered: BTreeMap<Connection, BTreeSet<u64>>,
-    counts: DoorCounts,
+    counts: ConnectionCounts,
     /// The value it was sent last.
     capacity_elsewhere: bool,
 }
@@ -68,7 +68,7 @@
 #[expect(clippy::large_enum_variant, reason = "consumed at once, never stored")]
 pub enum AcceptorEvent {
     /// A client's request.
-    Request(ConnectionKey, Ask),
+    Request(ConnectionKey, ClientRequest),
     /// The process exited with these connections, which had unanswered requests.
     Exited(Vec<ConnectionKey>),
 }
@@ -79,7 +79,7 @@
     listeners: Vec<socket2::Socket>,
     /// The second listener speaks HTTP.
     http: bool,
-    terms: ClientTerms,
+    terms: ClientLimits,
     slots: Vec<Slot>,
     /// The incarnation given to the process started last.
     last_incarnation: u16,
@@ -108,7 +108,7 @@
     pub fn new(
         command: HolderCommand,
         listeners: Vec<socket2::Socket>,
-        terms: ClientTerms,
+        terms: ClientLimits,
         count: usize,
     ) -> Self {
         Self {
@@ -145,19 +145,24 @@
     }
 
     /// The last counters that each process reported.
-    pub fn counts(&self) -> impl Iterator<Item = &DoorCounts> {
+    pub fn counts(&self) -> impl Iterator<Item = &ConnectionCounts> {
         self.running().map(|acceptor| &acceptor.counts)
     }
 
     fn terms_message(&self, event_loop: &Hub, capacity_elsewhere: bool) -> Message {
         let (clock, http, finish) = (event_loop.clock().base(), self.http, self.finishing);
-        let terms =
-            trunk::Told { clock, terms: self.terms, http, room_elsewhere: capacity_elsewhere, finish };
+        let terms = trunk::AcceptorConfig {
+            clock,
+            terms: self.terms,
+            http,
+            room_elsewhere: capacity_elsewhere,
+            finish,
+        };
         Message::Terms { json: serde_json::to_vec(&terms).unwrap_or_default() }
     }
 
     /// Sends new terms to all processes.
-    pub fn set_terms(&mut self, event_loop: &mut Hub, terms: ClientTerms) {
+    pub fn set_terms(&mut self, event_loop: &mut Hub, terms: ClientLimits) {
         self.terms = terms;
         self.send_terms(event_loop, true);
     }
@@ -238,7 +243,7 @@
 
     fn start(&mut self, event_loop: &mut Hub, now: Micros) -> io::Result<Acceptor> {
         let (ours, theirs) = UnixStream::pair()?;
-        trunk::hand_over(&ours, &self.listeners)?;
+        trunk::send_listeners(&ours, &self.listeners)?;
         let mut command = (self.command)()?;
         command.stdin(Stdio::from(OwnedFd::from(theirs))).stdout(Stdio::null());
         let child = command.spawn()?;
@@ -254,7 +259,7 @@
                 break;
             }
         }
-        let counts = DoorCounts::default();
+        let counts = ConnectionCounts::default();
         Ok(Acceptor {
             trunk,
             child,
@@ -324,13 +329,13 @@
                     Message::Cancel { number } => acceptor.remove_unanswered(connection, *number),
                     Message::Bye { .. } => _ = acceptor.unanswered.remove(&connection),
                     asked => {
-                        if let Some(number) = asked_number(asked) {
+                        if let Some(number) = request_number(asked) {
                             acceptor.unanswered.entry(connection).or_default().insert(number);
                         }
                     }
                 }
                 let key = u64::from(incarnation) << INCARNATION_SHIFT | connection;
-                return Some(AcceptorEvent::Request(key, Ask { connection, came, message }));
+                return Some(AcceptorEvent::Request(key, ClientRequest { connection, came, message }));
             }
         }
         None
@@ -364,9 +369,7 @@
         let Some(slot) = self.slots_by_incarnation.get(&incarnation(key)) else { return };
         let Slot::Running(acceptor) = &mut self.slots[*slot] else { return };
         let connection = key & ((1 << INCARNATION_SHIFT) - 1);
-        answered_number(message)
-            .into_iter()
-            .for_each(|number| acceptor.remove_unanswered(connection, number));
+        answer_number(message).into_iter().for_each(|number| acceptor.remove_unanswered(connection, number));
         event_loop.send(acceptor.trunk, &Message::Of { connection, came: 0 }, None);
         event_loop.send(acceptor.trunk, message, None);
     }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,6 +1,6 @@
 //! The engine's and the gateway's counts in the Prometheus text format.
 
-use cresswheel_admission::DoorCounts;
+use cresswheel_admission::ConnectionCounts;
 use cresswheel_engine::Engine;
 use cresswheel_versions::{Side, Status as VersionStatus};
 use prometheus_client::encoding::text::encode;
@@ -14,7 +14,7 @@
 /// The counts that the engine doesn't have.
 pub struct GatewayCounts {
     /// One entry for each process that holds client connections.
-    pub client_counts: Vec<DoorCounts>,
+    pub client_counts: Vec<ConnectionCounts>,
     pub acceptors: usize,
     pub acceptor_restarts: u64,
     /// Calls that the intake rejected, by class.
@@ -68,8 +68,9 @@
     let turned_away = ["full", "address-share"].iter().filter_map(|why| closed.get(why)).sum::<u64>();
     let closed = closed.iter().map(|(why, n)| (vec![("reason", (*why).to_owned())], *n)).collect();
     counter("connections_closed", "Connections that the gateway closed or turned away, by reason", closed);
-    let total = |count: fn(&DoorCounts) -> u64| gateway.client_counts.iter().map(count).sum::<u64>();
-    let current = |count: fn(&DoorCounts) -> usize| gateway.client_counts.iter().map(count).sum::<usize>();
+    let total = |count: fn(&ConnectionCounts) -> u64| gateway.client_counts.iter().map(count).sum::<u64>();
+    let current =
+        |count: fn(&ConnectionCounts) -> usize| gateway.client_counts.iter().map(count).sum::<usize>();
     let counters = [
         ("hold_orders", "Hold orders given", counts.prewarm_orders),
         ("late_answers", "Answers to attempts that were over", counts.late_answers),
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use cresswheel_admission::{IntakeLimits, Terms};
-use cresswheel_clients::ClientTerms;
+use cresswheel_admission::{CallQueueLimits, ClassPriority};
+use cresswheel_clients::ClientLimits;
 use cresswheel_engine::EngineSettings;
 use cresswheel_protocol::{Listed, Micros};
 
@@ -52,9 +52,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShellLimits {
     /// Limits of clients and sockets; that of connections is for all processes together.
-    pub clients: ClientTerms,
+    pub clients: ClientLimits,
     /// Limits of calls that wait to be started.
-    pub intake: IntakeLimits,
+    pub intake: CallQueueLimits,
     /// Maximum number of connections to one worker.
     pub worker_connections: usize,
     /// Maximum number of attempts and orders in flight on one such connection.
@@ -71,8 +71,8 @@
     fn default() -> Self {
         const S: Micros = 1_000_000;
         Self {
-            clients: ClientTerms::default(),
-            intake: IntakeLimits::default(),
+            clients: ClientLimits::default(),
+            intake: CallQueueLimits::default(),
             worker_connections: 4,
             worker_streams: 100,
             worker_idle: 15 * S,
@@ -84,9 +84,11 @@
 
 impl GatewaySettings {
     /// The latency objective and value of each class, for the intake.
-    pub fn class_terms(&self) -> Vec<Terms> {
+    pub fn class_terms(&self) -> Vec<ClassPriority> {
         let classes = self.engine.dispatcher.classes.iter();
-        classes.map(|class| Terms { aim: class.latency_objective, worth: class.worth }).collect()
+        classes
+            .map(|class| ClassPriority { latency_objective: class.latency_objective, worth: class.worth })
+            .collect()
     }
 
     /// The settings that differ and can't change in a running gateway.
--- a/crates/platform/src/front.rs
+++ b/crates/platform/src/front.rs
@@ -4,7 +4,9 @@
 use std::net::Ipv4Addr;
 
 use cresswheel::Micros;
-use cresswheel_admission::{Act, Arrival, Door, DoorCounts, DoorLimits, Sign};
+use cresswheel_admission::{
+    Admission, ConnectionAction, ConnectionCounts, ConnectionEvent, ConnectionLimiter, ConnectionLimits,
+};
 use cresswheel_platform_wire::client::{self as wire, ClientDecoder, Code, FromClient, Request};
 use cresswheel_transport::{Connection, Hub, Notice, slot};
 use foldhash::{HashMap, HashMapExt, HashSet, HashSetExt};
@@ -46,7 +48,7 @@
 
 /// All client connections.
 pub struct ClientConnections {
-    admission: Door,
+    admission: ConnectionLimiter,
     max_connections: usize,
     /// Slow readers are tolerated while their total backlog stays below this many bytes.
     max_total_backlog: usize,
@@ -67,9 +69,9 @@
 const NOT_READING: &str = "asks and does not read";
 
 impl ClientConnections {
-    pub fn new(now: Micros, limits: DoorLimits) -> Self {
+    pub fn new(now: Micros, limits: ConnectionLimits) -> Self {
         Self {
-            admission: Door::new(now, limits),
+            admission: ConnectionLimiter::new(now, limits),
             max_connections: limits.connections,
             max_total_backlog: limits.half_bytes,
             connections: HashMap::new(),
@@ -87,7 +89,7 @@
         self.events.pop_front()
     }
 
-    pub fn counts(&self) -> DoorCounts {
+    pub fn counts(&self) -> ConnectionCounts {
         self.admission.counts()
     }
 
@@ -115,13 +117,13 @@
                 self.bytes(hub, is_ready, connection, &bytes);
             }
             Notice::Flushed(connection) if self.connections.contains_key(&connection) => {
-                self.admission.sign(now, slot(connection), Sign::Reads);
+                self.admission.on_event(now, slot(connection), ConnectionEvent::Resumed);
                 self.connections.entry(connection).and_modify(|client| client.stalled = None);
             }
             Notice::Closed { connection, guest: true, .. } => {
                 // A connection rejected by admission control is closed too, and was never registered.
                 if let Some(client) = self.connections.remove(&connection) {
-                    self.admission.left(slot(connection));
+                    self.admission.on_closed(slot(connection));
                     self.by_slot.remove(&slot(connection));
                     client.streams.values().for_each(|id| _ = self.ids.remove(id));
                     self.events.push_back(ClientEvent::Left(connection));
@@ -141,13 +143,13 @@
         let address = Ipv4Addr::UNSPECIFIED.into();
         let (now, by_slot) = (hub.clock().now(), &self.by_slot);
         let quiet = |slot| by_slot.get(&slot).is_none_or(|other| hub.is_quiet(*other));
-        match self.admission.arrives(now, slot(connection), address, false, quiet) {
-            Arrival::Welcome => {}
-            Arrival::Instead(other) => {
+        match self.admission.admit(now, slot(connection), address, false, quiet) {
+            Admission::Accept => {}
+            Admission::AcceptEvicting(other) => {
                 let other = self.by_slot.get(&other).copied();
                 other.into_iter().for_each(|other| self.close(hub, other, "room-needed"));
             }
-            Arrival::Away(why) => {
+            Admission::Reject(why) => {
                 tracing::debug!(why, "turned away");
                 return hub.close(connection, why);
             }
@@ -179,11 +181,11 @@
             match client.decoder.decode() {
                 Ok(None) => {
                     let held = client.decoder.midway();
-                    return self.admission.sign(now, slot(connection), Sign::Heard(held));
+                    return self.admission.on_event(now, slot(connection), ConnectionEvent::Received(held));
                 }
                 Ok(Some(frame)) => {
                     client.timeout_extended = false;
-                    self.admission.whole(now, slot(connection));
+                    self.admission.on_message_complete(now, slot(connection));
                     self.frame(hub, is_ready, connection, received, frame);
                 }
                 Err(error) => return self.protocol_error(hub, connection, &error.to_string()),
@@ -203,14 +205,14 @@
         match frame {
             FromClient::Ready(stream) => {
                 hub.write(connection, None, |out| wire::ready(out, stream, is_ready));
-                self.admission.asks(hub.clock().now(), slot(connection), "");
-                self.admission.answered(hub.clock().now(), slot(connection));
+                self.admission.on_request(hub.clock().now(), slot(connection), "");
+                self.admission.on_answer(hub.clock().now(), slot(connection));
                 self.check_backlog(hub, connection);
             }
             FromClient::TakenBack(stream) => {
                 if let Some(id) = client.streams.remove(&stream) {
                     self.ids.remove(&id);
-                    self.admission.called_off(hub.clock().now(), slot(connection));
+                    self.admission.on_cancel(hub.clock().now(), slot(connection));
                     self.events.push_back(ClientEvent::Canceled(connection, stream));
                 }
             }
@@ -241,7 +243,7 @@
                 }
                 client.streams.insert(stream, request.id.clone());
                 self.ids.insert(request.id.clone());
-                self.admission.asks(hub.clock().now(), slot(connection), "");
+                self.admission.on_request(hub.clock().now(), slot(connection), "");
                 self.events.push_back(ClientEvent::Request(connection, stream, received, request));
             }
         }
@@ -273,7 +275,7 @@
         let Some(client) = self.connections.get_mut(&connection) else { return false };
         let Some(id) = client.streams.remove(&stream) else { return false };
         self.ids.remove(&id);
-        self.admission.answered(hub.clock().now(), slot(connection));
+        self.admission.on_answer(hub.clock().now(), slot(connection));
         true
     }
 
@@ -329,7 +331,7 @@
             return self.close(hub, connection, NOT_READING);
         }
         hub.tell_flushed(connection);
-        self.admission.sign(hub.clock().now(), slot(connection), Sign::Stalled);
+        self.admission.on_event(hub.clock().now(), slot(connection), ConnectionEvent::Stalled);
     }
 
     /// Handles a timeout of a connection. Input that arrived by now is processed first.
@@ -344,23 +346,25 @@
                 if (backlog < *before || !client.streams.is_empty()) && unread <= self.max_total_backlog =>
             {
                 *before = backlog;
-                self.admission.sign(now, slot, Sign::Stalled);
+                self.admission.on_event(now, slot, ConnectionEvent::Stalled);
             }
             (None, "half-sent" | "half-bytes" | "half-many")
                 if !client.timeout_extended && !hub.is_quiet(connection) =>
             {
                 client.timeout_extended = true;
-                self.admission.sign(now, slot, Sign::Heard(client.decoder.midway()));
+                self.admission.on_event(now, slot, ConnectionEvent::Received(client.decoder.midway()));
             }
             // Open requests are still answered.
             (None, "half-sent" | "half-bytes" | "half-many") if !client.streams.is_empty() => {
-                self.admission.sign(now, slot, Sign::Heard(0));
+                self.admission.on_event(now, slot, ConnectionEvent::Received(0));
                 self.protocol_error(hub, connection, why);
             }
             (None, "half-sent" | "half-bytes" | "half-many") => {
                 self.close(hub, connection, why);
             }
-            (None, _) if !hub.is_quiet(connection) => self.admission.sign(now, slot, Sign::Heard(0)),
+            (None, _) if !hub.is_quiet(connection) => {
+                self.admission.on_event(now, slot, ConnectionEvent::Received(0))
+            }
             _ => {
                 self.close(hub, connection, why);
             }
@@ -387,8 +391,8 @@
     /// Applies due admission timeouts, and pauses or resumes accepting.
     pub fn tick(&mut self, hub: &mut Hub) {
         let now = hub.clock().now();
-        while let Some(act) = self.admission.act(now) {
-            if let Act::Close(slot, why) = act
+        while let Some(act) = self.admission.next_action(now) {
+            if let ConnectionAction::Close(slot, why) = act
                 && let Some(connection) = self.by_slot.get(&slot)
             {
                 self.handle_timeout(hub, *connection, why);
@@ -396,7 +400,7 @@
         }
         let has_capacity = self.admission.may_accept(now).is_ok();
         if has_capacity {
-            hub.accept_at_once(self.max_connections.saturating_sub(self.admission.here()));
+            hub.accept_at_once(self.max_connections.saturating_sub(self.admission.connection_count()));
         }
         if std::mem::replace(&mut self.listening, has_capacity) != has_capacity {
             hub.pause_listening(!has_capacity);
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use cresswheel::Micros;
-use cresswheel_admission::DoorLimits;
+use cresswheel_admission::ConnectionLimits;
 use cresswheel_carriers::CarrierLimits;
 use cresswheel_engine::{AdmissionLimits, EngineSettings, ResultLimits};
 use cresswheel_platform_wire::config::{Config, ConfigError};
@@ -50,7 +50,7 @@
     /// The engine and the decision module.
     pub engine: EngineSettings,
     /// Limits of client connections.
-    pub door: DoorLimits,
+    pub door: ConnectionLimits,
     /// Limits of connections to hosts.
     pub carriers: CarrierLimits,
     /// Connection limit over all hosts.
@@ -103,7 +103,7 @@
                 max_time: give_up.saturating_mul(10),
                 deferred_time: give_up,
             },
-            door: DoorLimits {
+            door: ConnectionLimits {
                 connections: clients,
                 accepts_per_s: 2_000,
                 evict_after: 200 * MILLISECOND,
@@ -115,7 +115,7 @@
                 half_bytes: memory / 8,
                 stall: 2 * SECOND,
                 pings_per_s: 0,
-                ..DoorLimits::default()
+                ..ConnectionLimits::default()
             },
             carriers: CarrierLimits {
                 wire: Wire::Raw,
--- a/crates/settings/src/gateway.rs
+++ b/crates/settings/src/gateway.rs
@@ -333,10 +333,11 @@
     intake.calls = fields.count("intake_calls", intake.calls, (1, MAX_COUNT));
     intake.per_turn = fields.count("calls_per_turn", intake.per_turn, (1, 100_000));
     intake.share = fields.number("intake_share", intake.share, (0.01, 1.0));
-    intake.hold = fields.time("intake_hold", intake.hold);
-    intake.return_after = fields.time("return_after", intake.return_after);
-    intake.most_return = fields.time("most_return", intake.most_return);
-    fields.require(intake.return_after <= intake.most_return, "return_after is longer than most_return");
+    intake.max_unread = fields.time("intake_hold", intake.max_unread);
+    intake.min_retry_after = fields.time("return_after", intake.min_retry_after);
+    intake.max_retry_after = fields.time("most_return", intake.max_retry_after);
+    fields
+        .require(intake.min_retry_after <= intake.max_retry_after, "return_after is longer than most_return");
     shell.worker_connections = fields.count("worker_connections", shell.worker_connections, (1, 1_000));
     shell.worker_streams = fields.count("worker_streams", shell.worker_streams, (1, 100_000));
     shell.worker_idle = fields.time("worker_idle", shell.worker_idle);
