--- a/crates/carriers/examples/connection_cost.rs
+++ b/crates/carriers/examples/connection_cost.rs
@@ -12,7 +12,7 @@
 use std::process::{Child, Command, Stdio};
 
 use cresswheel::WorkerId;
-use cresswheel_carriers::{Cargo, CarrierLimits, Carriers};
+use cresswheel_carriers::{CarrierLimits, ConnectionPool, Payload};
 use cresswheel_measure::{Series, resident_bytes, run_child_for_value, thread_cpu_time};
 use cresswheel_transport::{Hub, HubLimits, Notice, Wire};
 
@@ -49,7 +49,7 @@
 /// An event loop with connections to workers, each to a worker of its own.
 struct Fixture {
     hub: Hub,
-    carriers: Carriers,
+    carriers: ConnectionPool,
     limits: CarrierLimits,
 }
 
@@ -63,18 +63,22 @@
             connect_timeout: 10_000_000,
             idle: HOUR,
         };
-        Self { hub: Hub::new(HubLimits::default()).expect("a hub"), carriers: Carriers::default(), limits }
+        Self {
+            hub: Hub::new(HubLimits::default()).expect("a hub"),
+            carriers: ConnectionPool::default(),
+            limits,
+        }
     }
 
     fn connect(&mut self, address: SocketAddr, connections: std::ops::Range<usize>) {
         let mut connecting = 0;
         for number in connections {
             let worker = WorkerId::from(format!("worker-{number:05}").as_str());
-            let cargo = Cargo::Attempt(number as u64);
+            let cargo = Payload::Attempt(number as u64);
             let frame = |out: &mut Vec<u8>| out.extend([0; 150]);
             let to = (&worker, address);
             let connection =
-                self.carriers.give(&mut self.hub, &self.limits, to, (cargo, frame), |_| true, |_| {});
+                self.carriers.dispatch(&mut self.hub, &self.limits, to, (cargo, frame), |_| true, |_| {});
             connection.expect("a connection");
             connecting += 1;
             while connecting >= MAX_CONNECTING {
@@ -86,7 +90,8 @@
         }
         // The frames are sent by now; the attempts end here.
         self.hub.wait(Some(self.hub.clock().now() + 50_000)).expect("a loop iteration");
-        (0..self.carriers.connections()).for_each(|number| _ = self.carriers.done(&self.hub, number as u64));
+        (0..self.carriers.connections())
+            .for_each(|number| _ = self.carriers.complete(&self.hub, number as u64));
     }
 
     /// Runs one loop iteration; returns the number of connections established in it.
@@ -96,7 +101,7 @@
         while let Some(notice) = self.hub.take_notice() {
             match notice {
                 Notice::Connected(connection) => {
-                    self.carriers.stands(connection);
+                    self.carriers.mark_established(connection);
                     established += 1;
                 }
                 Notice::Closed { why, .. } => panic!("a connection was lost: {why}"),
--- a/crates/carriers/src/lib.rs
+++ b/crates/carriers/src/lib.rs
@@ -42,7 +42,7 @@
 
 /// All connections to workers.
 #[derive(Default)]
-pub struct Carriers {
+pub struct ConnectionPool {
     connections: HashMap<Connection, PooledConnection>,
     by_worker: HashMap<WorkerId, Vec<Connection>>,
     /// The connection that carries each attempt and order in flight.
@@ -70,29 +70,29 @@
 
 /// What is sent on a connection, by its number.
 #[derive(Clone, Copy, Debug)]
-pub enum Cargo {
+pub enum Payload {
     /// An attempt.
     Attempt(u64),
     /// A prewarm order.
     Order(u64),
 }
 
-impl Carriers {
+impl ConnectionPool {
     /// Writes a frame to a connection to the worker and returns the connection, or `None` if none is
     /// available. `begin` writes the preamble of a new connection; `usable` may exclude connections.
-    pub fn give(
+    pub fn dispatch(
         &mut self,
         hub: &mut Hub,
         limits: &CarrierLimits,
         (worker, address): (&WorkerId, SocketAddr),
-        (cargo, frame): (Cargo, impl FnOnce(&mut Vec<u8>)),
+        (cargo, frame): (Payload, impl FnOnce(&mut Vec<u8>)),
         usable: impl Fn(Connection) -> bool,
         begin: impl FnOnce(&mut Vec<u8>),
     ) -> Option<Connection> {
         let now = hub.clock().now();
         let to_worker = self.by_worker.get(worker).map_or(&[][..], Vec::as_slice);
         let stale = |c: &Connection| {
-            matches!(cargo, Cargo::Attempt(_)) && self.connections[c].is_stale(now, limits.idle)
+            matches!(cargo, Payload::Attempt(_)) && self.connections[c].is_stale(now, limits.idle)
         };
         let available = |c: &Connection| {
             !self.connections[c].leaving && self.connections[c].in_flight() < limits.streams && !stale(c)
@@ -103,24 +103,24 @@
         // there.
         let attempts = |c: Connection| self.connections[&c].attempts.len();
         let candidate = match cargo {
-            Cargo::Attempt(_) => candidates.min_by_key(|c| attempts(*c)),
-            Cargo::Order(_) => candidates.next(),
+            Payload::Attempt(_) => candidates.min_by_key(|c| attempts(*c)),
+            Payload::Order(_) => candidates.next(),
         };
         let below_limit = to_worker.iter().filter(|c| !stale(c)).count() < limits.connections;
-        let may_share = !below_limit || matches!(cargo, Cargo::Order(_));
+        let may_share = !below_limit || matches!(cargo, Payload::Order(_));
         let connection = match candidate.filter(|c| may_share || attempts(*c) < limits.spread) {
             Some(connection) => connection,
             None if !below_limit => return None,
             None => self.open(hub, limits, (worker, address), begin)?,
         };
-        let (Cargo::Attempt(number) | Cargo::Order(number)) = cargo;
+        let (Payload::Attempt(number) | Payload::Order(number)) = cargo;
         if !hub.write(connection, Some(number), frame) {
             return None;
         }
         if let Some(pooled) = self.connections.get_mut(&connection) {
             match cargo {
-                Cargo::Attempt(_) => pooled.attempts.insert(number),
-                Cargo::Order(_) => pooled.orders.insert(number),
+                Payload::Attempt(_) => pooled.attempts.insert(number),
+                Payload::Order(_) => pooled.orders.insert(number),
             };
         }
         self.assignments.insert(number, connection);
@@ -171,7 +171,7 @@
 
     /// Sends a frame that is neither attempt nor order if there is an established connection; returns that
     /// connection.
-    pub fn tell(
+    pub fn send_control(
         &mut self,
         hub: &mut Hub,
         worker: &WorkerId,
@@ -184,23 +184,23 @@
     }
 
     /// Sends the worker a cancellation on the connection that carries the attempt; returns that connection.
-    pub fn call_off(
+    pub fn cancel(
         &mut self,
         hub: &mut Hub,
         attempt: u64,
         frame: impl FnOnce(&mut Vec<u8>),
     ) -> Option<Connection> {
-        let connection = self.done(hub, attempt)?;
+        let connection = self.complete(hub, attempt)?;
         hub.write(connection, None, frame);
         Some(connection)
     }
 
     /// Withdraws an attempt or order if no byte of it was sent; returns whether it did.
-    pub fn withdraw(&mut self, hub: &mut Hub, number: u64) -> bool {
+    pub fn cancel_if_unsent(&mut self, hub: &mut Hub, number: u64) -> bool {
         let Some(connection) = self.assignments.get(&number).copied() else { return false };
         let withdrawn = hub.withdraw(connection, number);
         if withdrawn {
-            self.done(hub, number);
+            self.complete(hub, number);
         }
         withdrawn
     }
@@ -210,19 +210,21 @@
         let to_worker = self.by_worker.get(worker).cloned().unwrap_or_default();
         let mut ended = Vec::new();
         for pooled in to_worker.iter().filter_map(|connection| self.connections.get(connection)) {
-            ended.extend(pooled.attempts.iter().copied().map(Cargo::Attempt));
-            ended.extend(pooled.orders.iter().copied().map(Cargo::Order));
+            ended.extend(pooled.attempts.iter().copied().map(Payload::Attempt));
+            ended.extend(pooled.orders.iter().copied().map(Payload::Order));
         }
-        ended.retain(|(Cargo::Attempt(number) | Cargo::Order(number))| self.withdraw(hub, *number));
+        ended.retain(|(Payload::Attempt(number) | Payload::Order(number))| {
+            self.cancel_if_unsent(hub, *number)
+        });
         let input = |cargo| match cargo {
-            Cargo::Attempt(number) => Input::AttemptEnded(number, AttemptEnd::TakenBack, Vec::new(), None),
-            Cargo::Order(number) => Input::OrderEnded(number, OrderEnd::NotConnected, 0),
+            Payload::Attempt(number) => Input::AttemptEnded(number, AttemptEnd::TakenBack, Vec::new(), None),
+            Payload::Order(number) => Input::OrderEnded(number, OrderEnd::NotConnected, 0),
         };
         ended.into_iter().map(input).collect()
     }
 
     /// Removes an attempt or order that is no longer in flight; returns the connection that carried it.
-    pub fn done(&mut self, hub: &Hub, number: u64) -> Option<Connection> {
+    pub fn complete(&mut self, hub: &Hub, number: u64) -> Option<Connection> {
         let connection = self.assignments.remove(&number)?;
         let pooled = self.connections.get_mut(&connection)?;
         if pooled.attempts.remove(&number) {
@@ -233,7 +235,7 @@
     }
 
     /// Whether an attempt or order is queued here and no byte of it was sent.
-    pub fn is_waiting(&self, hub: &Hub, number: u64) -> bool {
+    pub fn is_unsent(&self, hub: &Hub, number: u64) -> bool {
         let connection = self.assignments.get(&number);
         connection.is_some_and(|connection| hub.sent(*connection, number) == Sent::Nothing)
     }
@@ -244,14 +246,14 @@
     }
 
     /// Whether another connection to the same worker is established.
-    pub fn has_sibling(&self, connection: Connection) -> bool {
+    pub fn has_other_connection(&self, connection: Connection) -> bool {
         let worker = self.connections.get(&connection).map(|pooled| &pooled.worker);
         let to_worker = worker.and_then(|worker| self.by_worker.get(worker));
         to_worker.into_iter().flatten().any(|c| *c != connection && self.connections[c].established)
     }
 
     /// Whether this is a connection to a worker.
-    pub fn is_ours(&self, connection: Connection) -> bool {
+    pub fn contains(&self, connection: Connection) -> bool {
         self.connections.contains_key(&connection)
     }
 
@@ -261,24 +263,29 @@
     }
 
     /// Marks a connection as established.
-    pub fn stands(&mut self, connection: Connection) {
+    pub fn mark_established(&mut self, connection: Connection) {
         self.connections.entry(connection).and_modify(|c| c.established = true);
     }
 
     /// Marks a connection as leaving: it takes nothing new.
-    pub fn leaving(&mut self, connection: Connection) {
+    pub fn mark_leaving(&mut self, connection: Connection) {
         self.connections.entry(connection).and_modify(|c| c.leaving = true);
     }
 
     /// Marks all connections to a worker as leaving, established or not.
-    pub fn all_leaving(&mut self, worker: &WorkerId) {
+    pub fn mark_all_leaving(&mut self, worker: &WorkerId) {
         for connection in self.by_worker.get(worker).cloned().unwrap_or_default() {
-            self.leaving(connection);
+            self.mark_leaving(connection);
         }
     }
 
     /// Removes a closed connection and returns how each attempt and order on it ended.
-    pub fn closed(&mut self, connection: Connection, never_established: bool, unsent: &[u64]) -> Vec<Input> {
+    pub fn remove_closed(
+        &mut self,
+        connection: Connection,
+        never_established: bool,
+        unsent: &[u64],
+    ) -> Vec<Input> {
         let Some(pooled) = self.connections.remove(&connection) else { return Vec::new() };
         if let Some(to_worker) = self.by_worker.get_mut(&pooled.worker) {
             to_worker.retain(|c| *c != connection);
@@ -320,7 +327,7 @@
     }
 
     /// Number of attempts and orders in flight.
-    pub fn out(&self) -> usize {
+    pub fn in_flight(&self) -> usize {
         self.assignments.len()
     }
 }
--- a/crates/carriers/tests/idle.rs
+++ b/crates/carriers/tests/idle.rs
@@ -3,7 +3,7 @@
 use std::net::TcpListener;
 use std::time::Duration;
 
-use cresswheel_carriers::{Cargo, CarrierLimits, Carriers};
+use cresswheel_carriers::{CarrierLimits, ConnectionPool, Payload};
 use cresswheel_transport::{Connection, Hub, HubLimits, Notice, Wire};
 
 const IDLE: Duration = Duration::from_millis(50);
@@ -12,7 +12,7 @@
 /// connections stay in the kernel's backlog.
 struct Fixture {
     hub: Hub,
-    carriers: Carriers,
+    carriers: ConnectionPool,
     worker: TcpListener,
     limits: CarrierLimits,
 }
@@ -23,13 +23,18 @@
         let limits =
             CarrierLimits { wire, connections, streams: 10, spread: 1, connect_timeout: 10_000_000, idle };
         let worker = TcpListener::bind("127.0.0.1:0").unwrap();
-        Self { hub: Hub::new(HubLimits::default()).unwrap(), carriers: Carriers::default(), worker, limits }
+        Self {
+            hub: Hub::new(HubLimits::default()).unwrap(),
+            carriers: ConnectionPool::default(),
+            worker,
+            limits,
+        }
     }
 
-    fn send(&mut self, cargo: Cargo) -> Option<Connection> {
+    fn send(&mut self, cargo: Payload) -> Option<Connection> {
         let to = (&"w".into(), self.worker.local_addr().unwrap());
         let frame = |out: &mut Vec<u8>| out.push(0);
-        self.carriers.give(&mut self.hub, &self.limits, to, (cargo, frame), |_| true, |_| {})
+        self.carriers.dispatch(&mut self.hub, &self.limits, to, (cargo, frame), |_| true, |_| {})
     }
 
     /// Waits until a connection is established.
@@ -38,7 +43,7 @@
         loop {
             while let Some(notice) = self.hub.take_notice() {
                 if matches!(notice, Notice::Connected(which) if which == connection) {
-                    return self.carriers.stands(connection);
+                    return self.carriers.mark_established(connection);
                 }
             }
             assert!(self.hub.clock().now() < end, "the connection was not established");
@@ -50,26 +55,26 @@
 #[test]
 fn attempts_avoid_a_connection_without_recent_attempts_even_if_orders_use_it() {
     let mut fixture = Fixture::new(1);
-    let first = fixture.send(Cargo::Attempt(1)).unwrap();
+    let first = fixture.send(Payload::Attempt(1)).unwrap();
     fixture.await_established(first);
-    fixture.carriers.done(&fixture.hub, 1);
+    fixture.carriers.complete(&fixture.hub, 1);
     // Before the idle timeout the connection is reused.
-    assert_eq!(fixture.send(Cargo::Attempt(2)), Some(first));
-    fixture.carriers.done(&fixture.hub, 2);
+    assert_eq!(fixture.send(Payload::Attempt(2)), Some(first));
+    fixture.carriers.complete(&fixture.hub, 2);
     std::thread::sleep(IDLE);
     // Orders still use it: the worker does not count them, and may be closing the connection now.
-    assert_eq!(fixture.send(Cargo::Order(3)), Some(first));
-    fixture.carriers.done(&fixture.hub, 3);
-    assert_eq!(fixture.send(Cargo::Order(4)), Some(first));
+    assert_eq!(fixture.send(Payload::Order(3)), Some(first));
+    fixture.carriers.complete(&fixture.hub, 3);
+    assert_eq!(fixture.send(Payload::Order(4)), Some(first));
     // The idle connection doesn't count against the limit, so that the attempt gets another one.
-    let second = fixture.send(Cargo::Attempt(5)).expect("a connection");
+    let second = fixture.send(Payload::Attempt(5)).expect("a connection");
     assert_ne!(second, first);
     fixture.await_established(second);
     // While the order is in flight the connection stays open; after that it is closed.
     let idle = fixture.limits.idle;
     fixture.carriers.close_idle(&mut fixture.hub, idle);
     assert!(fixture.hub.is_open(first));
-    fixture.carriers.done(&fixture.hub, 4);
+    fixture.carriers.complete(&fixture.hub, 4);
     fixture.carriers.close_idle(&mut fixture.hub, idle);
     assert!(!fixture.hub.is_open(first) && fixture.hub.is_open(second));
 }
--- a/crates/cli/examples/front_cost.rs
+++ b/crates/cli/examples/front_cost.rs
@@ -10,8 +10,8 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Duration;
 
-use cresswheel_platform_wire::client::{FromGateway, encode_request, take_from_gateway};
-use cresswheel_platform_wire::host::{encode_answer, take_command};
+use cresswheel_platform_wire::client::{FromGateway, decode_from_gateway, encode_request};
+use cresswheel_platform_wire::host::{decode_command, encode_answer};
 use cresswheel_protocol::{Decoder, Ending, Limits, Message, Role, Shape, encode};
 
 const CONNECTIONS: usize = 8;
@@ -68,7 +68,7 @@
 }
 
 fn host(held: &mut Vec<u8>, out: &mut Vec<u8>) {
-    while let Ok(Some(command)) = take_command(held) {
+    while let Ok(Some(command)) = decode_command(held) {
         let id = String::from_utf8_lossy(&command[1]);
         let fields = if command[0] == b"prewarm" { "instances=1" } else { "-" };
         if command[0] != b"evict" {
@@ -112,7 +112,7 @@
     };
     calls(at, depth, ask, |held| {
         let mut served = 0;
-        while let Ok(Some(frame)) = take_from_gateway(held) {
+        while let Ok(Some(frame)) = decode_from_gateway(held) {
             assert!(matches!(frame, FromGateway::Answer(_, 0, ..)), "{frame:?}");
             served += 1;
         }
--- a/crates/cli/src/shifts.rs
+++ b/crates/cli/src/shifts.rs
@@ -11,7 +11,7 @@
 use cresswheel_protocol::{Message, Shape};
 use cresswheel_rehearsal::{Client, Process, read_records};
 use cresswheel_standins::RecordedEvent;
-use cresswheel_versions::{Guard, promised_calls};
+use cresswheel_versions::{Guard, expected_calls_to_detection};
 
 use crate::versions::now;
 
@@ -196,7 +196,7 @@
         settle: 0,
         compare: None,
     };
-    let promised = promised_calls(&guard, 1, 0.01, (1e-3, 1.0));
+    let promised = expected_calls_to_detection(&guard, 1, 0.01, (1e-3, 1.0));
     println!("\na version that always fails, at 1% on {gateways} gateways, looked at every 200 ms");
     println!("{promised:.0} calls promised, with one bad call in a thousand of the old version");
     for round in 0..args.bad {
--- a/crates/cli/src/versions/gateway.rs
+++ b/crates/cli/src/versions/gateway.rs
@@ -5,7 +5,7 @@
 
 use cresswheel_protocol::Message;
 use cresswheel_rehearsal::Client;
-use cresswheel_versions::{Question, Reply};
+use cresswheel_versions::{VersionReply, VersionRequest};
 
 /// A gateway that is asked.
 pub struct Gateway {
@@ -22,7 +22,7 @@
     }
 
     /// Its answer, or why there is none.
-    pub fn ask(&mut self, key: &str, question: &Question) -> Result<Reply, String> {
+    pub fn ask(&mut self, key: &str, question: &VersionRequest) -> Result<VersionReply, String> {
         // A connection that broke since the last time says nothing of the gateway's present state.
         let had = self.client.is_some();
         match self.ask_once(key, question) {
@@ -31,7 +31,7 @@
         }
     }
 
-    fn ask_once(&mut self, key: &str, question: &Question) -> Result<Reply, String> {
+    fn ask_once(&mut self, key: &str, question: &VersionRequest) -> Result<VersionReply, String> {
         let mut client = match self.client.take() {
             Some(client) => client,
             None => Client::connect(self.address, "versions").map_err(|error| error.to_string())?,
--- a/crates/cli/src/versions/mod.rs
+++ b/crates/cli/src/versions/mod.rs
@@ -14,7 +14,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use anyhow::Context;
-use cresswheel_versions::{Kind, Micros, Plan, Record, Side};
+use cresswheel_versions::{Micros, OrderKind, Plan, Record, Side};
 
 use args::Order;
 pub use args::VersionsArgs;
@@ -39,10 +39,10 @@
             tool.conduct(record)
         }
         Order::Status { function } => tool.status(function),
-        Order::Pause { function } => tool.next(&function, Kind::Pause),
-        Order::Resume { function } => tool.next(&function, Kind::Resume),
-        Order::Promote { function } => tool.next(&function, Kind::Promote),
-        Order::Rollback { function } => tool.next(&function, Kind::RollBack),
+        Order::Pause { function } => tool.next(&function, OrderKind::Pause),
+        Order::Resume { function } => tool.next(&function, OrderKind::Resume),
+        Order::Promote { function } => tool.next(&function, OrderKind::Promote),
+        Order::Rollback { function } => tool.next(&function, OrderKind::RollBack),
         Order::History { function } => tool.history(&function),
     }
 }
@@ -71,7 +71,7 @@
 
 fn check(file: &Path) -> ExitCode {
     let Some(plan) = plan(file) else { return ExitCode::from(2) };
-    let (old, new) = (plan.routed(Side::Old), plan.routed(Side::New));
+    let (old, new) = (plan.routed_name(Side::Old), plan.routed_name(Side::New));
     println!("{}: sound; {old} to {new} in {} steps", file.display(), plan.steps.len());
     ExitCode::SUCCESS
 }
--- a/crates/cli/src/versions/orders.rs
+++ b/crates/cli/src/versions/orders.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use anyhow::{Context, bail};
-use cresswheel_versions::{Kind, Question, Record, Reply, Stage, Status};
+use cresswheel_versions::{OrderKind, Record, Stage, Status, VersionReply, VersionRequest};
 
 use super::gateway::Gateway;
 use super::text::{describe, print_status};
@@ -22,7 +22,11 @@
 
 impl Tool {
     /// Asks these gateways at once; what each said, or why it said nothing.
-    pub fn ask(&mut self, which: &[usize], question: &Question) -> Vec<(usize, Result<Reply, String>)> {
+    pub fn ask(
+        &mut self,
+        which: &[usize],
+        question: &VersionRequest,
+    ) -> Vec<(usize, Result<VersionReply, String>)> {
         let (key, question) = (&self.key, &question);
         std::thread::scope(|scope| {
             let asked = self.gateways.iter_mut().enumerate().filter(|(at, _)| which.contains(at));
@@ -45,7 +49,7 @@
 
     /// Statuses of one function, or of all.
     pub fn statuses(&mut self, function: Option<&str>) -> Vec<(usize, Result<Vec<Status>, String>)> {
-        let question = Question::Status(function.map(str::to_owned));
+        let question = VersionRequest::Status(function.map(str::to_owned));
         let asked = self.ask(&self.all(), &question).into_iter();
         asked.map(|(at, reply)| (at, reply.and_then(statuses))).collect()
     }
@@ -62,7 +66,7 @@
         }
         let records =
             said.into_iter().filter_map(|(_, said)| said.ok()).flatten().map(|status| status.record);
-        Ok(records.max_by_key(Record::mark))
+        Ok(records.max_by_key(Record::precedence))
     }
 
     /// The same, where there must be one.
@@ -70,34 +74,34 @@
         self.newest(function)?.with_context(|| format!("no gateway has a plan for {function}"))
     }
 
-    pub fn next(&mut self, function: &str, kind: Kind) -> anyhow::Result<ExitCode> {
+    pub fn next(&mut self, function: &str, kind: OrderKind) -> anyhow::Result<ExitCode> {
         let held = self.held(function)?;
         // Safe to repeat: what was ordered already is only carried to those who lack it.
         let done = match kind {
-            Kind::RollBack => held.stage == Stage::RolledBack,
-            Kind::Promote => held.stage == Stage::Promoted,
-            Kind::Pause => held.paused,
+            OrderKind::RollBack => held.stage == Stage::RolledBack,
+            OrderKind::Promote => held.stage == Stage::Promoted,
+            OrderKind::Pause => held.paused,
             _ => false,
         };
         let (by, why) = (&self.args.by, &self.args.why);
         let record =
-            if done { held } else { held.then(kind, draw(), now(), by, why).map_err(anyhow::Error::msg)? };
+            if done { held } else { held.next(kind, draw(), now(), by, why).map_err(anyhow::Error::msg)? };
         self.order(record)
     }
 
     /// Carries an order to all gateways, until all have it or the time is over.
     pub fn order(&mut self, record: Record) -> anyhow::Result<ExitCode> {
-        let mark = record.mark();
+        let mark = record.precedence();
         println!("{}", describe(&record));
         let end = Instant::now() + Duration::from_millis(self.args.within);
-        let question = Question::Order(Box::new(record));
+        let question = VersionRequest::Order(Box::new(record));
         let (mut lack, mut why) = (self.all(), Vec::new());
         while !lack.is_empty() {
             why.clear();
             for (at, reply) in self.ask(&lack, &question) {
                 match reply.and_then(statuses) {
                     Ok(said) => match said.first() {
-                        Some(status) if status.record.mark() > mark => {
+                        Some(status) if status.record.precedence() > mark => {
                             bail!("overruled at {}: {}", self.name(at), describe(&status.record));
                         }
                         _ => lack.retain(|lacks| *lacks != at),
@@ -136,28 +140,28 @@
     pub fn history(&mut self, function: &str) -> anyhow::Result<ExitCode> {
         let mut all: Vec<Record> = Vec::new();
         let mut missing = false;
-        for (at, reply) in self.ask(&self.all(), &Question::History(function.into())) {
+        for (at, reply) in self.ask(&self.all(), &VersionRequest::History(function.into())) {
             match reply {
-                Ok(Reply::History(records)) => all.extend(records),
-                Ok(Reply::Refused(why)) | Err(why) => {
+                Ok(VersionReply::History(records)) => all.extend(records),
+                Ok(VersionReply::Refused(why)) | Err(why) => {
                     missing = true;
                     eprintln!("{}: {why}", self.name(at));
                 }
-                Ok(Reply::Status(_)) => {}
+                Ok(VersionReply::Status(_)) => {}
             }
         }
-        all.sort_by_key(Record::mark);
-        all.dedup_by_key(|record| record.mark());
+        all.sort_by_key(Record::precedence);
+        all.dedup_by_key(|record| record.precedence());
         all.iter().for_each(|record| println!("{}", describe(record)));
         Ok(if missing { ExitCode::FAILURE } else { ExitCode::SUCCESS })
     }
 }
 
 /// The statuses in a reply.
-pub fn statuses(reply: Reply) -> Result<Vec<Status>, String> {
+pub fn statuses(reply: VersionReply) -> Result<Vec<Status>, String> {
     match reply {
-        Reply::Status(statuses) => Ok(statuses),
-        Reply::Refused(why) => Err(why),
-        Reply::History(_) => Err("an answer to another question".into()),
+        VersionReply::Status(statuses) => Ok(statuses),
+        VersionReply::Refused(why) => Err(why),
+        VersionReply::History(_) => Err("an answer to another question".into()),
     }
 }
--- a/crates/cli/src/versions/text.rs
+++ b/crates/cli/src/versions/text.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use cresswheel_versions::{Hold, Record, Side, Stage, Status, Tally};
+use cresswheel_versions::{Record, ShareOverride, Side, Stage, Status, Tally};
 
 /// A record in a line.
 pub fn describe(record: &Record) -> String {
@@ -15,17 +15,17 @@
     let paused = if record.paused { ", paused" } else { "" };
     let by = if record.by.is_empty() { String::new() } else { format!(" by {}", record.by) };
     let why = if record.why.is_empty() { String::new() } else { format!(": {}", record.why) };
-    let (old, new) = (plan.routed(Side::Old), plan.routed(Side::New));
-    format!("epoch {} {}: {old} to {new}, {stage}{paused}{by}{why}", record.epoch, record.kind.word())
+    let (old, new) = (plan.routed_name(Side::Old), plan.routed_name(Side::New));
+    format!("epoch {} {}: {old} to {new}, {stage}{paused}{by}{why}", record.epoch, record.kind.as_str())
 }
 
 /// Why a gateway does not do as its record says.
-pub fn describe_hold(hold: &Hold) -> String {
+pub fn describe_hold(hold: &ShareOverride) -> String {
     match hold {
-        Hold::Loading => "loads the new version".into(),
-        Hold::LoadsFail => "can't load the new version".into(),
-        Hold::Lapsed => "heard nothing for its lease, went back to the old version".into(),
-        Hold::Braked(why) => format!("went back to the old version by its own figures: {why}"),
+        ShareOverride::Loading => "loads the new version".into(),
+        ShareOverride::LoadsFail => "can't load the new version".into(),
+        ShareOverride::Lapsed => "heard nothing for its lease, went back to the old version".into(),
+        ShareOverride::Braked(why) => format!("went back to the old version by its own figures: {why}"),
     }
 }
 
@@ -54,7 +54,7 @@
     for (class, both) in answers {
         for (side, tally) in [Side::Old, Side::New].into_iter().zip(both) {
             let Tally { answered, errors, late, erred } = tally;
-            let routed = record.plan.routed(side);
+            let routed = record.plan.routed_name(side);
             println!(
                 "  {class} by {routed}: {answered} answered, {errors} not served, {late} late, {erred} erred"
             );
--- a/crates/cli/tests/crossings.rs
+++ b/crates/cli/tests/crossings.rs
@@ -12,7 +12,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-use cresswheel_platform_wire::client::{FromGateway, encode_bare};
+use cresswheel_platform_wire::client::{FromGateway, encode_without_fields};
 use peers::{
     Client, Directory, FUNCTION, Gateway, Host, HostAction, ManualHost, answer_ok, config, invoke_count,
     request_frame, start_host,
@@ -590,7 +590,7 @@
         let mut idle_clients: Vec<Client> = (0..300).map(|_| gateway.connect()).collect();
         for client in &mut idle_clients {
             let mut ready = Vec::new();
-            encode_bare(&mut ready, true, 1);
+            encode_without_fields(&mut ready, true, 1);
             client.send_bytes(&ready);
         }
         gateway.wait_for_log("the directory is silent");
@@ -781,7 +781,7 @@
     host.send_answer(connection, &order, "OK", "instances=1", b"");
     // Cancellations on streams without an open request have no effect, but have to be read.
     let mut cancellations = Vec::new();
-    (1_000..21_000).for_each(|stream| encode_bare(&mut cancellations, false, stream));
+    (1_000..21_000).for_each(|stream| encode_without_fields(&mut cancellations, false, stream));
     client.send_bytes(&cancellations);
     client.cancel(9);
     std::thread::sleep(AFTER_CLIENT_LEFT);
--- a/crates/cli/tests/peers/mod.rs
+++ b/crates/cli/tests/peers/mod.rs
@@ -13,9 +13,11 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use cresswheel_platform_wire::client::{FromGateway, encode_bare, encode_request, take_from_gateway};
-use cresswheel_platform_wire::directory::{Listing, answer_id, encode_listing};
-use cresswheel_platform_wire::host::{encode_answer, take_command};
+use cresswheel_platform_wire::client::{
+    FromGateway, decode_from_gateway, encode_request, encode_without_fields,
+};
+use cresswheel_platform_wire::directory::{HostList, encode_host_list, message_id};
+use cresswheel_platform_wire::host::{decode_command, encode_answer};
 use cresswheel_protocol::{Listed, Standing};
 
 /// Upper bound for every wait in these tests; exceeding it is a failure.
@@ -60,7 +62,7 @@
 pub fn serve_connection(mut socket: TcpStream, script: &HostScript, commands: &Mutex<Vec<String>>) {
     let (mut received, mut chunk) = (Vec::new(), [0; 4096]);
     loop {
-        while let Some(command) = take_command(&mut received).expect("commands") {
+        while let Some(command) = decode_command(&mut received).expect("commands") {
             let text = |n: usize| String::from_utf8_lossy(command.get(n).map_or(&[], |p| p)).into_owned();
             let (name, id) = (text(0), text(1));
             let before = {
@@ -98,13 +100,13 @@
 }
 
 /// A serial, and the hosts with their priorities.
-pub type HostList = (u32, Vec<(String, SocketAddr, u16)>);
-pub type SharedHostList = Arc<Mutex<HostList>>;
+pub type HostEntries = (u32, Vec<(String, SocketAddr, u16)>);
+pub type SharedHostList = Arc<Mutex<HostEntries>>;
 
 /// An outdated list that is sent instead of the current one.
 #[derive(Debug)]
 struct StaleAnswer {
-    answer: HostList,
+    answer: HostEntries,
     /// The directory sends no further answers after it.
     then_silent: bool,
 }
@@ -139,7 +141,7 @@
             let mut bytes = [0; 512];
             let mut sent_by_address: HashMap<SocketAddr, usize> = HashMap::new();
             while let Ok((count, from)) = socket.recv_from(&mut bytes) {
-                let query_id = answer_id(&bytes[..count]).unwrap();
+                let query_id = message_id(&bytes[..count]).unwrap();
                 let sent = sent_by_address.entry(from).or_insert(0);
                 let current = current_list.lock().unwrap().clone();
                 if !current.1.is_empty() && *sent < limit.load(Ordering::SeqCst) {
@@ -151,7 +153,8 @@
                         }
                         None => current,
                     };
-                    let bytes = encode_host_list(query_id, serial, &hosts, start_ms.load(Ordering::SeqCst));
+                    let bytes =
+                        encode_host_entries(query_id, serial, &hosts, start_ms.load(Ordering::SeqCst));
                     send_after(&socket, from, bytes, Duration::from_millis(delay.load(Ordering::SeqCst)));
                 }
             }
@@ -222,7 +225,12 @@
     });
 }
 
-pub fn encode_host_list(id: u16, serial: u32, hosts: &[(String, SocketAddr, u16)], start_ms: u64) -> Vec<u8> {
+pub fn encode_host_entries(
+    id: u16,
+    serial: u32,
+    hosts: &[(String, SocketAddr, u16)],
+    start_ms: u64,
+) -> Vec<u8> {
     let listed = hosts.iter().map(|(id, address, priority)| Listed {
         id: id.clone(),
         address: address.to_string(),
@@ -232,7 +240,7 @@
         standing: if *priority == 0 { Standing::In } else { Standing::Draining },
         started: start_ms * 1_000,
     });
-    encode_listing(id, &Listing { serial: u64::from(serial), hosts: listed.collect() }).unwrap()
+    encode_host_list(id, &HostList { serial: u64::from(serial), hosts: listed.collect() }).unwrap()
 }
 
 pub struct Gateway {
@@ -499,7 +507,7 @@
     /// Cancels the request on a stream.
     pub fn cancel(&mut self, stream: u32) {
         let mut bytes = Vec::new();
-        encode_bare(&mut bytes, false, stream);
+        encode_without_fields(&mut bytes, false, stream);
         self.send_bytes(&bytes);
     }
 
@@ -511,7 +519,7 @@
     /// The next frame; `None` if the connection was closed.
     pub fn next_frame(&mut self) -> Option<FromGateway> {
         loop {
-            if let Some(frame) = take_from_gateway(&mut self.received).unwrap() {
+            if let Some(frame) = decode_from_gateway(&mut self.received).unwrap() {
                 return Some(frame);
             }
             let mut chunk = [0; 4096];
@@ -602,7 +610,7 @@
         socket.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         socket.read_to_end(&mut received).expect("the end of the connection");
         let mut ids = Vec::new();
-        while let Some(command) = take_command(&mut received).expect("commands") {
+        while let Some(command) = decode_command(&mut received).expect("commands") {
             if command[0] == b"invoke" {
                 ids.push(String::from_utf8_lossy(&command[1]).into_owned());
             }
@@ -646,7 +654,7 @@
             if let Ok(count) = socket.read(&mut chunk) {
                 received.extend_from_slice(&chunk[..count]);
             }
-            if let Some(command) = take_command(received).expect("commands") {
+            if let Some(command) = decode_command(received).expect("commands") {
                 let text = |part: &Vec<u8>| String::from_utf8_lossy(part).into_owned();
                 return Some((number, command.iter().map(text).collect()));
             }
--- a/crates/cli/tests/platform.rs
+++ b/crates/cli/tests/platform.rs
@@ -11,7 +11,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-use cresswheel_platform_wire::client::{FromGateway, encode_bare};
+use cresswheel_platform_wire::client::{FromGateway, encode_without_fields};
 use peers::{Client, Directory, Gateway, Host, HostAction, answer_ok, config, invoke_count, start_host};
 
 #[test]
@@ -20,7 +20,7 @@
     let gateway = Gateway::new(&[("s-1", &host)], &directory, "load");
     let mut client = gateway.connect();
     let mut ready = Vec::new();
-    encode_bare(&mut ready, true, 9);
+    encode_without_fields(&mut ready, true, 9);
     client.socket.write_all(&ready).unwrap();
     assert_eq!(client.next_frame(), Some(FromGateway::Ready(9, 0)));
     client.send_request_with_id(1, "00000000000000aa", "check", "3000");
@@ -245,7 +245,7 @@
     let idle_connections: Vec<TcpStream> =
         (0..350).map(|_| TcpStream::connect(gateway.address).unwrap()).collect();
     let mut ready = Vec::new();
-    (1..200).for_each(|stream| encode_bare(&mut ready, true, stream));
+    (1..200).for_each(|stream| encode_without_fields(&mut ready, true, stream));
     for mut socket in idle_connections.iter().take(30) {
         let _ = socket.write_all(&ready);
     }
--- a/crates/cli/tests/restarts.rs
+++ b/crates/cli/tests/restarts.rs
@@ -12,7 +12,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use cresswheel_platform_wire::client::{FromGateway, encode_bare};
+use cresswheel_platform_wire::client::{FromGateway, encode_without_fields};
 use peers::{Client, Directory, Gateway, Host, answer_ok, config, start_host};
 
 /// Pause of a background client before it reconnects.
@@ -85,7 +85,7 @@
     let mut client = gateway.connect();
     loop {
         let mut query = Vec::new();
-        encode_bare(&mut query, true, READY_STREAM);
+        encode_without_fields(&mut query, true, READY_STREAM);
         client.send_bytes(&query);
         match client.next_frame() {
             Some(FromGateway::Ready(READY_STREAM, 0)) => return started.elapsed(),
@@ -163,7 +163,7 @@
     for gateway in &gateways {
         let mut client = gateway.connect();
         let mut query = Vec::new();
-        encode_bare(&mut query, true, READY_STREAM);
+        encode_without_fields(&mut query, true, READY_STREAM);
         client.send_bytes(&query);
         let answer = client.next_frame();
         assert!(matches!(answer, Some(FromGateway::Ready(READY_STREAM, code)) if code != 0), "{answer:?}");
--- a/crates/cli/tests/versions.rs
+++ b/crates/cli/tests/versions.rs
@@ -13,7 +13,8 @@
 use cresswheel_protocol::{Ending, Message, Origin, Shape};
 use cresswheel_rehearsal::{Client, Process};
 use cresswheel_versions::{
-    Compare, Guard, Hold, Kind, Plan, Question, Record, Reply, Share, Side, Status, Step, point,
+    Compare, Guard, OrderKind, Plan, Record, Share, ShareOverride, Side, Status, Step, VersionReply,
+    VersionRequest, point,
 };
 
 const MS: u64 = 1_000;
@@ -129,7 +130,7 @@
     }
 }
 
-fn ask(client: &mut Client, question: &Question) -> Reply {
+fn ask(client: &mut Client, question: &VersionRequest) -> VersionReply {
     let json = serde_json::to_vec(question).unwrap();
     client.send(&Message::Versions { number: 77, key: String::new(), json }).unwrap();
     loop {
@@ -142,15 +143,15 @@
 }
 
 fn order(client: &mut Client, record: &Record) -> Status {
-    match ask(client, &Question::Order(Box::new(record.clone()))) {
-        Reply::Status(mut statuses) => statuses.remove(0),
+    match ask(client, &VersionRequest::Order(Box::new(record.clone()))) {
+        VersionReply::Status(mut statuses) => statuses.remove(0),
         other => panic!("{other:?}"),
     }
 }
 
 fn status(client: &mut Client) -> Status {
-    match ask(client, &Question::Status(Some("f".into()))) {
-        Reply::Status(mut statuses) => statuses.remove(0),
+    match ask(client, &VersionRequest::Status(Some("f".into()))) {
+        VersionReply::Status(mut statuses) => statuses.remove(0),
         other => panic!("{other:?}"),
     }
 }
@@ -169,8 +170,8 @@
     Record::start(plan, None, 1, 1, "test", "").unwrap()
 }
 
-fn then(record: &Record, kind: Kind, id: u64) -> Record {
-    record.then(kind, id, 1, "test", "").unwrap()
+fn then(record: &Record, kind: OrderKind, id: u64) -> Record {
+    record.next(kind, id, 1, "test", "").unwrap()
 }
 
 fn about(number: u64, class: &str, account: &str, deferred: bool) -> Message {
@@ -220,9 +221,9 @@
             for _ in some {
                 let (number, status, reason, origin) = answered(&mut client);
                 assert_eq!((status.as_str(), reason.as_str()), ("served", ""));
-                let new = share.takes(point(plan.salt, &format!("a{number}")));
+                let new = share.includes(point(plan.salt, &format!("a{number}")));
                 let side = if new { Side::New } else { Side::Old };
-                assert_eq!(origin.function, plan.routed(side));
+                assert_eq!(origin.function, plan.routed_name(side));
                 assert_eq!(origin.digest, cresswheel_standins::digest(&origin.function));
                 served[usize::from(new)] += 1;
             }
@@ -237,7 +238,7 @@
     let mut record = start(plan(&[100, 2_500, 10_000]));
     for (at, share) in [100, 2_500, 10_000].into_iter().enumerate() {
         if at > 0 {
-            record = then(&record, Kind::Widen, at as u64 + 1);
+            record = then(&record, OrderKind::Widen, at as u64 + 1);
         }
         fleet.order(&record);
         let accounts = 3_000;
@@ -250,9 +251,12 @@
         // A gateway that was killed goes on at the present step, without a word from anybody.
         fleet.again(at);
         let status = fleet.status(at);
-        assert_eq!((status.record.mark(), status.share.ten_thousandths()), (record.mark(), share));
+        assert_eq!(
+            (status.record.precedence(), status.share.ten_thousandths()),
+            (record.precedence(), share)
+        );
     }
-    record = then(&record, Kind::RollBack, 9);
+    record = then(&record, OrderKind::RollBack, 9);
     fleet.order(&record);
     assert_eq!(calls(&fleet, 0, 300), [300, 0]);
     fleet.again(1);
@@ -286,7 +290,7 @@
             _ => {}
         }
     }
-    order(&mut client, &then(&record, Kind::RollBack, 2));
+    order(&mut client, &then(&record, OrderKind::RollBack, 2));
     if let Some(order) = hold {
         played.send(&Message::Held { order, ending: Ending::Ok, standing: 1 });
     }
@@ -366,7 +370,7 @@
     client.send(&about(1, "check", "a", false)).unwrap();
     assert_eq!(answered(&mut client).3.function, "f@2");
     (0..2).for_each(|worker| fleet.fault(worker, "flush"));
-    fleet.order(&then(&record, Kind::RollBack, 2));
+    fleet.order(&then(&record, OrderKind::RollBack, 2));
     client.send(&about(2, "post", "a", false)).unwrap();
     let (_, status, _, origin) = answered(&mut client);
     assert_eq!((status.as_str(), origin.function.as_str()), ("served", "f@1"));
@@ -392,7 +396,7 @@
         client.send(&about(number, "check", "a", false)).unwrap();
         assert_eq!(answered(&mut client).3.function, "f@1");
     }
-    fleet.until(0, "found that loads fail", |status| status.hold == Some(Hold::LoadsFail));
+    fleet.until(0, "found that loads fail", |status| status.hold == Some(ShareOverride::LoadsFail));
     client.send(&about(99, "post", "a", false)).unwrap();
     assert_eq!(answered(&mut client).3.function, "f@1");
 }
@@ -405,17 +409,23 @@
     let mut client = fleet.client(0);
     client.send(&about(1, "check", "a", false)).unwrap();
     assert_eq!(answered(&mut client).3.function, "f@2");
-    fleet.until(0, "lapsed", |status| status.hold == Some(Hold::Lapsed));
+    fleet.until(0, "lapsed", |status| status.hold == Some(ShareOverride::Lapsed));
     client.send(&about(2, "check", "a", false)).unwrap();
     assert_eq!(answered(&mut client).3.function, "f@1");
-    let Reply::Status(said) = ask(&mut client, &Question::Renew("f".into(), record.mark())) else { panic!() };
+    let VersionReply::Status(said) =
+        ask(&mut client, &VersionRequest::Renew("f".into(), record.precedence()))
+    else {
+        panic!()
+    };
     assert_eq!((said[0].share, &said[0].hold), (Share::ALL, &None));
     // A rollback that reaches one only: the other holds for its lease, frozen meanwhile, and then goes back.
-    ask(&mut fleet.client(1), &Question::Renew("f".into(), record.mark()));
+    ask(&mut fleet.client(1), &VersionRequest::Renew("f".into(), record.precedence()));
     fleet.gateways[1].signal("STOP").unwrap();
-    order(&mut client, &then(&record, Kind::RollBack, 2));
+    order(&mut client, &then(&record, OrderKind::RollBack, 2));
     fleet.gateways[1].signal("CONT").unwrap();
-    fleet.until(1, "lapsed", |status| status.hold == Some(Hold::Lapsed) && status.share == Share::NONE);
+    fleet.until(1, "lapsed", |status| {
+        status.hold == Some(ShareOverride::Lapsed) && status.share == Share::NONE
+    });
 }
 
 #[test]
@@ -430,7 +440,7 @@
         for mut tool in both {
             assert!(tool.wait().unwrap().code().is_some_and(|code| code <= 1));
         }
-        let marks: Vec<_> = (0..3).map(|n| fleet.status(n).record.mark()).collect();
+        let marks: Vec<_> = (0..3).map(|n| fleet.status(n).record.precedence()).collect();
         assert!(marks.iter().all(|mark| *mark == marks[0]), "{marks:?}");
         // Whoever was overruled may repeat; a rollback is possible from either end.
         let back = fleet.run(&["rollback", "f"]);
@@ -535,7 +545,7 @@
         assert!(said.contains(words), "{words}\n{said}");
     }
     assert!(
-        matches!(ask(&mut fleet.client(0), &Question::Status(None)), Reply::Status(all) if all.is_empty())
+        matches!(ask(&mut fleet.client(0), &VersionRequest::Status(None)), VersionReply::Status(all) if all.is_empty())
     );
     let none = fleet.run(&["rollback", "f"]);
     assert!(String::from_utf8_lossy(&none.stderr).contains("no gateway has a plan for f"), "{none:?}");
@@ -544,16 +554,16 @@
 #[test]
 fn orders_need_the_key_and_a_gateway_that_takes_them() {
     let bed = Bed::new(&[nobody()]);
-    let json = serde_json::to_vec(&Question::Status(None)).unwrap();
+    let json = serde_json::to_vec(&VersionRequest::Status(None)).unwrap();
     let reply = |client: &mut Client, key: &str, json: Vec<u8>| {
         client.send(&Message::Versions { number: 1, key: key.into(), json }).unwrap();
         match client.receive_within(PATIENCE).unwrap() {
-            Message::Versioned { json, .. } => serde_json::from_slice::<Reply>(&json).unwrap(),
+            Message::Versioned { json, .. } => serde_json::from_slice::<VersionReply>(&json).unwrap(),
             other => panic!("{other:?}"),
         }
     };
-    let refused = |reply: Reply| match reply {
-        Reply::Refused(why) => why,
+    let refused = |reply: VersionReply| match reply {
+        VersionReply::Refused(why) => why,
         other => panic!("{other:?}"),
     };
     assert!(refused(reply(&mut bed.client(), "", json.clone())).contains("takes no version orders"));
@@ -570,7 +580,7 @@
     for wrong in ["", "0123456789abcdeF", "0123456789abcde", "0123456789abcdef0"] {
         assert!(refused(reply(&mut client, wrong, json.clone())).contains("order key"), "{wrong:?}");
     }
-    assert_eq!(reply(&mut client, "0123456789abcdef", json), Reply::Status(vec![]));
+    assert_eq!(reply(&mut client, "0123456789abcdef", json), VersionReply::Status(vec![]));
     let garbage = refused(reply(&mut client, "0123456789abcdef", b"{\"order\": 5}".to_vec()));
     assert!(garbage.starts_with("not understood: "), "{garbage}");
     let status = Command::new(EXE)
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -9,7 +9,7 @@
 use calloop::signals::Signal;
 use cresswheel::Effect;
 use cresswheel_admission::{CallQueue, ConnectionSplit, DescriptorBudget, OfferResult};
-use cresswheel_carriers::{Cargo, CarrierLimits};
+use cresswheel_carriers::{CarrierLimits, Payload};
 use cresswheel_clients::{ClientLimits, ClientRequest, Clients};
 use cresswheel_engine::{Answer, Attempt, AttemptEnd, Call, Client, Engine, Input, OrderEnd, Output};
 use cresswheel_protocol::{Listed, Message, Micros, Origin, Role, Status};
@@ -642,7 +642,7 @@
             Output::Prewarm { worker, order, function, count, shape } => {
                 tracing::debug!(%worker, %function, count, "hold");
                 let message = Message::Hold { order, function: function.to_string(), count, shape };
-                if !self.workers.dispatch(&mut self.event_loop, &worker, Cargo::Order(order), &message) {
+                if !self.workers.dispatch(&mut self.event_loop, &worker, Payload::Order(order), &message) {
                     self.inputs.push_back(Input::OrderEnded(order, OrderEnd::NotConnected, 0));
                 }
             }
@@ -686,7 +686,7 @@
         let _in = span.enter();
         tracing::debug!(worker = %attempt.worker, attempt = attempt.number, before = attempt.previous_attempts, "run");
         let message = attempt.message();
-        let cargo = Cargo::Attempt(attempt.number);
+        let cargo = Payload::Attempt(attempt.number);
         if !self.workers.dispatch(&mut self.event_loop, &attempt.worker, cargo, &message) {
             let end = AttemptEnd::NotConnected;
             self.inputs.push_back(Input::AttemptEnded(attempt.number, end, Vec::new(), None));
--- a/crates/gateway/src/version_store/tests.rs
+++ b/crates/gateway/src/version_store/tests.rs
@@ -1,7 +1,7 @@
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex};
 
-use cresswheel_versions::{Guard, Kind, Plan, Share, Step, Stick};
+use cresswheel_versions::{Affinity, Guard, OrderKind, Plan, Share, Step};
 use redb::StorageBackend;
 
 use super::*;
@@ -22,7 +22,7 @@
         new: "2".into(),
         old_digest: String::new(),
         new_digest: String::new(),
-        stick: Stick::Account,
+        stick: Affinity::Account,
         salt: [1, 2],
         steps: vec![step(100), step(10_000)],
         guard,
@@ -35,8 +35,8 @@
 /// Start, widen, promote, roll back.
 fn history() -> Vec<FunctionState> {
     let mut records = vec![Record::start(plan(), None, 7, 1, "a", "b").unwrap()];
-    for kind in [Kind::Widen, Kind::Promote, Kind::RollBack] {
-        let next = records.last().unwrap().then(kind, 8, 2, "a", "b").unwrap();
+    for kind in [OrderKind::Widen, OrderKind::Promote, OrderKind::RollBack] {
+        let next = records.last().unwrap().next(kind, 8, 2, "a", "b").unwrap();
         records.push(next);
     }
     records.into_iter().map(|record| FunctionState { record, heard: 3, braked: None }).collect()
@@ -172,7 +172,7 @@
     let store = VersionStore::with_backend(RecordingBackend::default()).unwrap();
     let mut record = Record::start(plan(), None, 1, 1, "", "").unwrap();
     for number in 0..MAX_HISTORY as u64 + 20 {
-        record = record.then(Kind::Pause, number, 1, "", "").unwrap();
+        record = record.next(OrderKind::Pause, number, 1, "", "").unwrap();
         store.put(&FunctionState { record: record.clone(), heard: 0, braked: None }).unwrap();
     }
     let kept = store.history("f").unwrap();
--- a/crates/gateway/src/versions.rs
+++ b/crates/gateway/src/versions.rs
@@ -7,15 +7,15 @@
 use cresswheel_engine::{Answer, Call, Client, VersionRoute};
 use cresswheel_protocol::{Micros, Origin, Status};
 use cresswheel_versions::{
-    Callers, Compare, End, Expected, LOOK_EVERY, Question, Reply, Side, Status as VersionStatus, Versions,
-    Weight,
+    CallerIdentity, Compare, End, JUDGE_INTERVAL, PrewarmTarget, RecordOrder, Side, Status as VersionStatus,
+    VersionReply, VersionRequest, Versions,
 };
 
 use crate::version_store::{FunctionState, VersionStore};
 
 /// How long the engine expects calls of a function after each check; more than the interval, since a check
 /// may be late.
-pub const EXPECTATION_TTL: Micros = 3 * LOOK_EVERY;
+pub const EXPECTATION_TTL: Micros = 3 * JUDGE_INTERVAL;
 
 /// The versions of one gateway.
 pub struct VersionController {
@@ -95,7 +95,7 @@
         // Most functions have no plan, and their calls need no id.
         self.versions.heard(&call.function)?;
         let call_id = self.call_id(client);
-        let callers = Callers {
+        let callers = CallerIdentity {
             tenant: &call.tenant,
             account: call.account.as_deref().unwrap_or_default(),
             key: &call.key,
@@ -120,7 +120,7 @@
             (Status::Served, true) => End::Late,
             _ => End::NotServed,
         };
-        self.versions.answered(&call.function, side, &call.class, end, erred);
+        self.versions.count_answer(&call.function, side, &call.class, end, erred);
     }
 
     /// The shadow call to the old version, if the answers of both versions are to be compared. The call must
@@ -128,11 +128,11 @@
     /// of the client matches it.
     pub fn shadow_call(&mut self, now: Micros, call: &Call, client: Client) -> Option<(Client, Call)> {
         let route = call.route.as_ref().filter(|route| route.is_new_version && !call.deferred)?;
-        let (plan, compare) = self.versions.compare(&call.function)?;
+        let (plan, compare) = self.versions.comparison(&call.function)?;
         if self.comparisons.len() >= MAX_COMPARISONS || !compare.takes(plan.salt, &self.call_id(client)) {
             return None;
         }
-        let (function, digest) = (plan.routed(Side::Old), plan.digest(Side::Old).to_owned());
+        let (function, digest) = (plan.routed_name(Side::Old), plan.digest(Side::Old).to_owned());
         let route = VersionRoute { function, digest, is_shadow: true, is_new_version: !route.is_new_version };
         let trace = if call.trace.is_empty() { String::new() } else { format!("{}~twin", call.trace) };
         self.last_comparison += 1;
@@ -159,8 +159,8 @@
         if let [Some(a), Some(b)] = &comparison.answers {
             // Only served answers are compared; errors are evaluated separately.
             if a.status == Status::Served && b.status == Status::Served {
-                let is_same = comparison.criteria.same(&a.body, &b.body);
-                self.versions.compared(&comparison.function, is_same);
+                let is_same = comparison.criteria.answers_match(&a.body, &b.body);
+                self.versions.count_comparison(&comparison.function, is_same);
             }
             self.comparisons.remove(&number);
         }
@@ -171,7 +171,7 @@
     pub fn record_run(&mut self, call: &Call, origin: Option<&Origin>, wrong: bool) {
         let Some(route) = &call.route else { return };
         let digest = origin.map_or("untold", |origin| &origin.digest);
-        self.versions.ran(&call.function, &route.function, digest, wrong);
+        self.versions.count_reported_version(&call.function, &route.function, digest, wrong);
         if wrong {
             let (asked, told) = (&route.function, origin.map(|o| format!("{} {}", o.function, o.digest)));
             tracing::warn!(%asked, wanted = %route.digest, ?told, "worker ran a version other than the one requested");
@@ -181,17 +181,17 @@
     /// Records the answer to a prewarm order.
     pub fn record_load(&mut self, routed: &str, is_loaded: bool) {
         if !self.versions.is_empty() {
-            self.versions.loaded(routed, is_loaded);
+            self.versions.load_ended(routed, is_loaded);
         }
     }
 
     /// Handles a request about versions and returns the reply as JSON.
     pub fn handle_request(&mut self, now: Micros, key: &str, json: &[u8]) -> Vec<u8> {
-        let reply = self.execute(now, key, json).unwrap_or_else(Reply::Refused);
+        let reply = self.execute(now, key, json).unwrap_or_else(VersionReply::Refused);
         serde_json::to_vec(&reply).unwrap_or_default()
     }
 
-    fn execute(&mut self, now: Micros, key: &str, json: &[u8]) -> Result<Reply, String> {
+    fn execute(&mut self, now: Micros, key: &str, json: &[u8]) -> Result<VersionReply, String> {
         let Some(store) = &self.store else {
             return Err(
                 "this gateway takes no version orders: there is no versions(...) in its settings".into()
@@ -201,12 +201,15 @@
             return Err("the order key is not this gateway's".into());
         }
         let question = serde_json::from_slice(json).map_err(|error| format!("not understood: {error}"))?;
-        let status =
-            |versions: &Versions, function: &str| Ok(Reply::Status(versions.status(now, Some(function))));
+        let status = |versions: &Versions, function: &str| {
+            Ok(VersionReply::Status(versions.status(now, Some(function))))
+        };
         match question {
-            Question::Status(function) => Ok(Reply::Status(self.versions.status(now, function.as_deref()))),
-            Question::History(function) => store.history(&function).map(Reply::History),
-            Question::Renew(function, mark) => {
+            VersionRequest::Status(function) => {
+                Ok(VersionReply::Status(self.versions.status(now, function.as_deref())))
+            }
+            VersionRequest::History(function) => store.history(&function).map(VersionReply::History),
+            VersionRequest::Renew(function, mark) => {
                 let before = self.versions.heard(&function).map(|(_, heard, _)| heard);
                 if self.versions.renew(now, &function, mark)
                     && let Some((record, heard, braked)) = self.versions.heard(&function)
@@ -225,16 +228,16 @@
                 }
                 status(&self.versions, &function)
             }
-            Question::Order(record) => {
+            VersionRequest::Order(record) => {
                 let function = record.plan.function.clone();
                 match self.versions.weigh(&record) {
-                    Weight::Wrong(why) => return Err(why),
+                    RecordOrder::Wrong(why) => return Err(why),
                     // A repeat of the current order or of a superseded one: the status tells which.
-                    Weight::Same | Weight::Older => {}
-                    Weight::Newer => {
+                    RecordOrder::Same | RecordOrder::Older => {}
+                    RecordOrder::Newer => {
                         store.put(&FunctionState { record: (*record).clone(), heard: now, braked: None })?;
                         let (epoch, kind, by, why) =
-                            (record.epoch, record.kind.word(), &record.by, &record.why);
+                            (record.epoch, record.kind.as_str(), &record.by, &record.why);
                         tracing::info!(%function, epoch, kind, stage = ?record.stage, %by, %why, "version order");
                         self.versions.act(now, *record);
                         self.next_check = now;
@@ -251,17 +254,17 @@
     }
 
     /// Evaluates this gateway's own counts; returns the functions that are to be kept loaded.
-    pub fn check(&mut self, now: Micros) -> Vec<Expected> {
+    pub fn check(&mut self, now: Micros) -> Vec<PrewarmTarget> {
         if self.versions.is_empty() || now < self.next_check {
             return Vec::new();
         }
-        self.next_check = now + LOOK_EVERY;
+        self.next_check = now + JUDGE_INTERVAL;
         // A call whose client disconnected gets no answer.
         self.comparisons
             .retain(|_, comparison| now < comparison.started_at.saturating_add(COMPARISON_TIMEOUT));
         let comparisons = &self.comparisons;
         self.comparison_of_client.retain(|_, number| comparisons.contains_key(number));
-        for function in self.versions.look(now) {
+        for function in self.versions.judge(now) {
             let Some((record, heard, Some(why))) = self.versions.heard(&function) else { continue };
             tracing::error!(%function, %why, "the new version was judged worse: this gateway routes all calls to the old one");
             let state = FunctionState { record: record.clone(), heard, braked: Some(why.to_owned()) };
@@ -269,7 +272,7 @@
                 tracing::error!(%error, "the local rollback could not be stored: a restart would undo it");
             }
         }
-        self.versions.expected(now)
+        self.versions.prewarm_targets(now)
     }
 
     /// The status of all functions.
--- a/crates/gateway/src/workers.rs
+++ b/crates/gateway/src/workers.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 
 use cresswheel::WorkerId;
-use cresswheel_carriers::{Cargo, CarrierLimits, Carriers};
+use cresswheel_carriers::{CarrierLimits, ConnectionPool, Payload};
 use cresswheel_engine::{AttemptEnd, Input, OrderEnd};
 use cresswheel_protocol::{Listed, Message, Micros, Standing, encode};
 use cresswheel_transport::{Connection, Hub};
@@ -22,7 +22,7 @@
 
 /// The listed workers and the connections to them.
 pub struct Workers {
-    pool: Carriers,
+    pool: ConnectionPool,
     limits: CarrierLimits,
     /// The first message on each connection.
     hello: Message,
@@ -32,7 +32,7 @@
 
 impl Workers {
     pub fn new(limits: CarrierLimits, hello: Message) -> Self {
-        let (pool, addresses, activity) = (Carriers::default(), HashMap::new(), HashMap::new());
+        let (pool, addresses, activity) = (ConnectionPool::default(), HashMap::new(), HashMap::new());
         Self { pool, limits, hello, addresses, activity }
     }
 
@@ -48,7 +48,7 @@
 
     /// Whether this is a connection to a worker.
     pub fn is_worker_connection(&self, connection: Connection) -> bool {
-        self.pool.is_ours(connection)
+        self.pool.contains(connection)
     }
 
     /// Applies a whole list or its changes. Returns the unsent attempts and orders of workers that drain or
@@ -78,7 +78,7 @@
             }
             if previous.is_some_and(|previous| previous != address) {
                 ended.extend(self.pool.withdraw_all(event_loop, &id));
-                self.pool.all_leaving(&id);
+                self.pool.mark_all_leaving(&id);
             }
         }
         ended
@@ -87,7 +87,7 @@
     fn remove(&mut self, event_loop: &mut Hub, id: &WorkerId) -> Vec<Input> {
         self.addresses.remove(id);
         let ended = self.pool.withdraw_all(event_loop, id);
-        self.pool.all_leaving(id);
+        self.pool.mark_all_leaving(id);
         ended
     }
 
@@ -96,7 +96,7 @@
         &mut self,
         event_loop: &mut Hub,
         worker: &WorkerId,
-        cargo: Cargo,
+        cargo: Payload,
         message: &Message,
     ) -> bool {
         let Some(address) = self.addresses.get(worker).copied() else { return false };
@@ -106,7 +106,7 @@
         let write_frame = |out: &mut Vec<u8>| encode(message, out);
         let target = (worker, address);
         let connection =
-            self.pool.give(event_loop, &self.limits, target, (cargo, write_frame), |_| true, write_hello);
+            self.pool.dispatch(event_loop, &self.limits, target, (cargo, write_frame), |_| true, write_hello);
         let Some(connection) = connection else { return false };
         self.activity.entry(connection).or_insert(Activity { opened_at: now, last_received: now });
         true
@@ -114,23 +114,23 @@
 
     /// Sends a message that is neither an attempt nor an order, if a connection is established.
     pub fn send_if_connected(&mut self, event_loop: &mut Hub, worker: &WorkerId, message: &Message) {
-        self.pool.tell(event_loop, worker, |out| encode(message, out));
+        self.pool.send_control(event_loop, worker, |out| encode(message, out));
     }
 
     /// Cancels an attempt if no byte of it has been sent; returns whether it was canceled.
     pub fn cancel_unsent(&mut self, event_loop: &mut Hub, attempt: u64) -> bool {
-        self.pool.withdraw(event_loop, attempt)
+        self.pool.cancel_if_unsent(event_loop, attempt)
     }
 
     /// Asks the worker to cancel an attempt.
     pub fn cancel_attempt(&mut self, event_loop: &mut Hub, attempt: u64) {
         let message = Message::CancelRun { attempt };
-        self.pool.call_off(event_loop, attempt, |out| encode(&message, out));
+        self.pool.cancel(event_loop, attempt, |out| encode(&message, out));
     }
 
     /// Records that a connection was established.
     pub fn connected(&mut self, event_loop: &Hub, connection: Connection) {
-        self.pool.stands(connection);
+        self.pool.mark_established(connection);
         self.record_received(event_loop, connection);
     }
 
@@ -153,7 +153,7 @@
             }
             Message::Probed { .. } => self.pool.worker(connection).map(Input::ProbeAnswered),
             Message::GoingAway { .. } => {
-                self.pool.leaving(connection);
+                self.pool.mark_leaving(connection);
                 None
             }
             Message::Bye { reason } => {
@@ -168,7 +168,7 @@
     /// connection other than the one it was sent on.
     fn complete(&mut self, event_loop: &Hub, connection: Connection, number: u64) -> u64 {
         let number = if self.pool.carries(connection, number) { number } else { 0 };
-        self.pool.done(event_loop, number);
+        self.pool.complete(event_loop, number);
         number
     }
 
@@ -183,7 +183,7 @@
     ) -> Vec<Input> {
         let opened = self.activity.remove(&connection).map(|activity| activity.opened_at);
         let received_since = opened.is_some_and(|opened| self.received_since(connection, opened));
-        let ended = self.pool.closed(connection, never_stood && !received_since, unsent);
+        let ended = self.pool.remove_closed(connection, never_stood && !received_since, unsent);
         if !ended.is_empty() {
             tracing::info!(%why, never_stood, ended = ended.len(), "worker connection closed");
         }
--- a/crates/platform-wire/examples/directory_bytes.rs
+++ b/crates/platform-wire/examples/directory_bytes.rs
@@ -9,7 +9,7 @@
 use std::hint::black_box;
 
 use cresswheel_measure::{Series, thread_cpu_time};
-use cresswheel_platform_wire::directory::{self, Listing};
+use cresswheel_platform_wire::directory::{self, HostList};
 use cresswheel_protocol::{Listed, Standing};
 
 /// A datagram has 65,507 bytes at most, which bounds the number of hosts.
@@ -29,30 +29,30 @@
         standing: Standing::In,
         started: 1_790_000_000_000_000,
     };
-    let listing = Listing { serial: 7, hosts: (0..hosts).map(listed).collect() };
-    directory::encode_listing(1, &listing).expect("an answer")
+    let listing = HostList { serial: 7, hosts: (0..hosts).map(listed).collect() };
+    directory::encode_host_list(1, &listing).expect("an answer")
 }
 
 fn main() {
-    let query = directory::query(1).expect("a query").len();
+    let query = directory::encode_query(1).expect("a query").len();
     println!("a query: {query} bytes");
     let mut length = Series::new("a directory's answer", "bytes", "hosts");
     let mut reading = Series::new("reading a directory's answer", "us", "hosts");
     for hosts in HOSTS {
         let bytes = answer(hosts);
-        let listing = directory::answer(&bytes).expect("a listing");
+        let listing = directory::decode_answer(&bytes).expect("a listing");
         assert_eq!(listing.hosts.len(), hosts, "all hosts are read");
         length.add(hosts, vec![bytes.len() as f64]);
         let read = || {
             let began = thread_cpu_time();
-            (0..REPEATS).for_each(|_| _ = black_box(directory::answer(black_box(&bytes))));
+            (0..REPEATS).for_each(|_| _ = black_box(directory::decode_answer(black_box(&bytes))));
             (thread_cpu_time() - began).as_secs_f64() * 1e6 / REPEATS as f64
         };
         reading.add(hosts, (0..RUNS).map(|_| read()).collect());
     }
     println!("\n{length}\n{reading}");
     for size in MAX_SIZES {
-        let fits = |bytes: &[u8]| bytes.len() <= size && directory::answer(bytes).is_ok();
+        let fits = |bytes: &[u8]| bytes.len() <= size && directory::decode_answer(bytes).is_ok();
         let most = (0..).take_while(|hosts| fits(&answer(*hosts))).last().unwrap_or(0);
         println!("hosts in an answer of {size} bytes: {most}");
     }
--- a/crates/platform-wire/src/client.rs
+++ b/crates/platform-wire/src/client.rs
@@ -104,7 +104,7 @@
     /// A request on a stream, valid or not.
     Request(u32, Result<Request, RequestError>),
     /// The client canceled the request on this stream.
-    TakenBack(u32),
+    Canceled(u32),
     /// Asks whether the gateway is ready.
     Ready(u32),
 }
@@ -128,7 +128,7 @@
     }
 
     /// Bytes of an incomplete frame that are buffered or still to be discarded.
-    pub fn midway(&self) -> usize {
+    pub fn incomplete_bytes(&self) -> usize {
         self.bytes.input.unread().len() + self.skip
     }
 
@@ -165,7 +165,7 @@
     let Some(payload) = payload.get(..size) else { return Ok(None) };
     let frame = match kind {
         kind::REQUEST => FromClient::Request(stream, parse_request(payload)),
-        kind::CANCEL => FromClient::TakenBack(stream),
+        kind::CANCEL => FromClient::Canceled(stream),
         _ => FromClient::Ready(stream),
     };
     input.consume(size + HEADER);
@@ -275,7 +275,7 @@
 
 /// Appends the answer to a request; `after`: milliseconds that a refused client should wait before a retry.
 /// On stream 0 it reports an error that belongs to no request.
-pub fn answer(out: &mut Vec<u8>, stream: u32, code: Code, after: Option<u64>, body: &[u8]) {
+pub fn encode_answer(out: &mut Vec<u8>, stream: u32, code: Code, after: Option<u64>, body: &[u8]) {
     encode_frame(out, kind::ANSWER, stream, |out| {
         out.push(code as u8);
         match after {
@@ -293,7 +293,7 @@
 }
 
 /// Appends the answer to a readiness query.
-pub fn ready(out: &mut Vec<u8>, stream: u32, is_ready: bool) {
+pub fn encode_readiness(out: &mut Vec<u8>, stream: u32, is_ready: bool) {
     encode_frame(out, kind::READINESS, stream, |out| {
         out.push(if is_ready { Code::Served as u8 } else { Code::Refused as u8 });
         encode_no_fields(out);
@@ -301,7 +301,7 @@
 }
 
 /// Appends a frame that asks the client to send no new request on this connection.
-pub fn leaving(out: &mut Vec<u8>) {
+pub fn encode_leaving(out: &mut Vec<u8>) {
     encode_frame(out, kind::LEAVING, 0, |_| {});
 }
 
@@ -320,7 +320,7 @@
 }
 
 /// Appends a frame without fields, as a client writes it: a readiness query, or else a cancellation.
-pub fn encode_bare(out: &mut Vec<u8>, is_ready: bool, stream: u32) {
+pub fn encode_without_fields(out: &mut Vec<u8>, is_ready: bool, stream: u32) {
     match is_ready {
         true => encode_frame(out, kind::READY, stream, encode_no_fields),
         false => encode_frame(out, kind::CANCEL, stream, |_| {}),
@@ -339,7 +339,7 @@
 }
 
 /// Removes the first complete frame from the bytes, if there is one; `Err`: the frame is malformed.
-pub fn take_from_gateway(bytes: &mut Vec<u8>) -> Result<Option<FromGateway>, &'static str> {
+pub fn decode_from_gateway(bytes: &mut Vec<u8>) -> Result<Option<FromGateway>, &'static str> {
     let Some(length) = bytes.first_chunk::<4>().map(|l| u32::from_le_bytes(*l) as usize) else {
         return Ok(None);
     };
--- a/crates/platform-wire/src/directory.rs
+++ b/crates/platform-wire/src/directory.rs
@@ -16,7 +16,7 @@
 
 /// The complete list of hosts as of an event.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Listing {
+pub struct HostList {
     /// Number of the last event.
     pub serial: u64,
     /// The hosts; one that is absent has left.
@@ -44,7 +44,7 @@
 }
 
 /// The query for the complete list, with this message id.
-pub fn query(id: u16) -> Result<Vec<u8>, DirectoryError> {
+pub fn encode_query(id: u16) -> Result<Vec<u8>, DirectoryError> {
     let mut message = Message::new(id, MessageType::Query, OpCode::Query);
     message.add_query(Query::query(service()?, RecordType::SRV));
     message.to_vec().map_err(invalid_message)
@@ -59,7 +59,7 @@
 }
 
 /// Encodes a list as a directory answers it, for stand-ins and measurements.
-pub fn encode_listing(id: u16, listing: &Listing) -> Result<Vec<u8>, DirectoryError> {
+pub fn encode_host_list(id: u16, listing: &HostList) -> Result<Vec<u8>, DirectoryError> {
     let service = service()?;
     let name = |text: &str| Name::from_ascii(text).map_err(invalid_message);
     let mut message = Message::new(id, MessageType::Response, OpCode::Query);
@@ -84,12 +84,12 @@
 }
 
 /// Message id of an answer, which finds the matching query.
-pub fn answer_id(bytes: &[u8]) -> Option<u16> {
+pub fn message_id(bytes: &[u8]) -> Option<u16> {
     bytes.first_chunk::<2>().map(|id| u16::from_be_bytes(*id))
 }
 
 /// Decodes an answer to [`query`]; the caller checks its message id.
-pub fn answer(bytes: &[u8]) -> Result<Listing, DirectoryError> {
+pub fn decode_answer(bytes: &[u8]) -> Result<HostList, DirectoryError> {
     let message = Message::from_vec(bytes).map_err(invalid_message)?;
     let service = service()?;
     let is_ours = |query: &Query| query.query_type() == RecordType::SRV && query.name() == &service;
@@ -150,7 +150,7 @@
             return Err(DirectoryError::InvalidRecord("too many hosts"));
         }
     }
-    Ok(Listing { serial, hosts })
+    Ok(HostList { serial, hosts })
 }
 
 /// Converts milliseconds since 1970 to the program's microseconds; 0: long ago.
@@ -170,7 +170,7 @@
 
 impl Known {
     /// The list as of the last event.
-    pub fn listing(&self) -> Listing {
+    pub fn listing(&self) -> HostList {
         let mut hosts: Vec<Listed> = Vec::new();
         for event in &self.entries {
             if event.hosts.complete {
@@ -181,7 +181,7 @@
             let listed = event.hosts.members.iter().map(Member::listed);
             hosts.extend(listed.filter(|host| host.standing != Standing::Out));
         }
-        Listing { serial: self.pos, hosts }
+        HostList { serial: self.pos, hosts }
     }
 }
 
--- a/crates/platform-wire/src/host.rs
+++ b/crates/platform-wire/src/host.rs
@@ -19,7 +19,7 @@
 
 /// Status word of a host's answer to a request, an order or a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
+pub enum AnswerStatus {
     /// Done.
     Ok,
     /// The function is not loaded there; it never ran.
@@ -42,7 +42,7 @@
     /// Id of the request, order or probe.
     pub id: String,
     /// How it ended.
-    pub word: Word,
+    pub word: AnswerStatus,
     /// Requests for the same function that the host had in hand when this one arrived.
     pub rivals: u32,
     /// Loaded instances, in the answer to an order.
@@ -92,14 +92,14 @@
     /// Idempotency key, or empty if the class has none.
     pub once: &'a str,
     /// How long the gateway waits for the answer, in milliseconds.
-    pub patience_ms: u64,
+    pub timeout_ms: u64,
     /// The body.
     pub body: &'a [u8],
 }
 
 /// Appends an `invoke` command.
 pub fn invoke(out: &mut Vec<u8>, request: &Invoke<'_>) {
-    let Invoke { id, class, function, once, patience_ms, body } = request;
+    let Invoke { id, class, function, once, timeout_ms: patience_ms, body } = request;
     let mut fields = format!("sort={class},asset={function},patience={patience_ms}");
     if !once.is_empty() {
         fields.push_str(",op=");
@@ -135,7 +135,7 @@
 }
 
 /// Removes the first complete command from the bytes and returns its parts, for tests and stand-ins.
-pub fn take_command(bytes: &mut Vec<u8>) -> Result<Option<Vec<Vec<u8>>>, AnswerError> {
+pub fn decode_command(bytes: &mut Vec<u8>) -> Result<Option<Vec<Vec<u8>>>, AnswerError> {
     let mut at = 0;
     let Some(count) = read_number(bytes, &mut at, b'*', 8)? else { return Ok(None) };
     let mut parts = Vec::new();
@@ -160,7 +160,7 @@
     }
 
     /// Whether part of an answer is buffered.
-    pub fn midway(&self) -> bool {
+    pub fn has_incomplete_answer(&self) -> bool {
         !self.bytes.input.unread().is_empty()
     }
 
@@ -221,13 +221,13 @@
     let id = id.filter(|id| !id.is_empty()).ok_or(AnswerError::Id)?;
     let word = match word {
         // SAME: it ran before under the same idempotency key; the answer is the one given then.
-        b"OK" | b"SAME" => Word::Ok,
-        b"MISS" => Word::Miss,
-        b"BUSY" => Word::Busy,
-        b"ERR" => Word::Err,
-        b"VOID" => Word::Void,
-        b"UP" => Word::Up,
-        b"DOWN" => Word::Down,
+        b"OK" | b"SAME" => AnswerStatus::Ok,
+        b"MISS" => AnswerStatus::Miss,
+        b"BUSY" => AnswerStatus::Busy,
+        b"ERR" => AnswerStatus::Err,
+        b"VOID" => AnswerStatus::Void,
+        b"UP" => AnswerStatus::Up,
+        b"DOWN" => AnswerStatus::Down,
         _ => return Err(AnswerError::Status),
     };
     let mut answer =
--- a/crates/platform-wire/tests/wire.rs
+++ b/crates/platform-wire/tests/wire.rs
@@ -1,12 +1,12 @@
 //! Decoding of platform messages: valid, truncated, malformed and oversized.
 
 use cresswheel_platform_wire::client::{
-    ClientDecoder, Code, FromClient, FromGateway, RequestError, answer, encode_bare, encode_request, leaving,
-    ready, take_from_gateway,
+    ClientDecoder, Code, FromClient, FromGateway, RequestError, decode_from_gateway, encode_answer,
+    encode_leaving, encode_readiness, encode_request, encode_without_fields,
 };
 use cresswheel_platform_wire::config::Config;
 use cresswheel_platform_wire::directory::{self, DirectoryError};
-use cresswheel_platform_wire::host::{self, AnswerError, HostDecoder, Invoke, Word};
+use cresswheel_platform_wire::host::{self, AnswerError, AnswerStatus, HostDecoder, Invoke};
 use cresswheel_protocol::Standing;
 use hickory_proto::op::{Message, MessageType, OpCode, Query, ResponseCode};
 use hickory_proto::rr::rdata::{A, SOA, SRV, TXT};
@@ -41,8 +41,8 @@
 #[test]
 fn a_request_decodes_alike_in_chunks_of_any_size() {
     let mut bytes = frame(7, &FIELDS, &[0, 255, 13, 10]);
-    encode_bare(&mut bytes, false, 7);
-    encode_bare(&mut bytes, true, 9);
+    encode_without_fields(&mut bytes, false, 7);
+    encode_without_fields(&mut bytes, true, 9);
     for size in 1..=bytes.len() {
         let mut decoder = ClientDecoder::default();
         let mut frames = Vec::new();
@@ -50,14 +50,14 @@
             decoder.push(piece);
             frames.extend(std::iter::from_fn(|| decoder.decode().unwrap()));
         }
-        let [FromClient::Request(7, Ok(request)), FromClient::TakenBack(7), FromClient::Ready(9)] =
+        let [FromClient::Request(7, Ok(request)), FromClient::Canceled(7), FromClient::Ready(9)] =
             &frames[..]
         else {
             panic!("{frames:?}")
         };
         assert_eq!((request.wait_ms, request.shape.lanes, request.shape.load_time), (1500, 2, 640_000));
         assert_eq!((request.body.as_slice(), request.retry), ([0, 255, 13, 10].as_slice(), false));
-        assert_eq!(decoder.midway(), 0);
+        assert_eq!(decoder.incomplete_bytes(), 0);
     }
 }
 
@@ -125,12 +125,12 @@
 #[test]
 fn a_client_decodes_what_the_gateway_encodes() {
     let mut out = Vec::new();
-    answer(&mut out, 5, Code::Served, None, b"body");
-    answer(&mut out, 6, Code::Refused, Some(250), b"");
-    answer(&mut out, 0, Code::Failed, None, b"why");
-    ready(&mut out, 7, true);
-    leaving(&mut out);
-    let read: Vec<_> = std::iter::from_fn(|| take_from_gateway(&mut out).unwrap()).collect();
+    encode_answer(&mut out, 5, Code::Served, None, b"body");
+    encode_answer(&mut out, 6, Code::Refused, Some(250), b"");
+    encode_answer(&mut out, 0, Code::Failed, None, b"why");
+    encode_readiness(&mut out, 7, true);
+    encode_leaving(&mut out);
+    let read: Vec<_> = std::iter::from_fn(|| decode_from_gateway(&mut out).unwrap()).collect();
     let want = [
         FromGateway::Answer(5, 0, None, b"body".to_vec()),
         FromGateway::Answer(6, 8, Some(250), Vec::new()),
@@ -145,7 +145,7 @@
 fn commands_are_arrays_of_bulk_strings() {
     let mut out = Vec::new();
     let (id, function) = ("00000000000000aa", "00000000000000ff");
-    let mut request = Invoke { id, class: "call", function, once: "", patience_ms: 700, body: b"\r\n" };
+    let mut request = Invoke { id, class: "call", function, once: "", timeout_ms: 700, body: b"\r\n" };
     host::invoke(&mut out, &request);
     let text = "*4\r\n$6\r\ninvoke\r\n$16\r\n00000000000000aa\r\n$45\r\nsort=call,asset=00000000000000ff,patience=700\r\n\
                 $2\r\n\r\n\r\n";
@@ -154,13 +154,13 @@
     request.once = "f73b8e92";
     let mut keyed = Vec::new();
     host::invoke(&mut keyed, &request);
-    let fields = host::take_command(&mut keyed).unwrap().unwrap().swap_remove(2);
+    let fields = host::decode_command(&mut keyed).unwrap().unwrap().swap_remove(2);
     assert_eq!(fields, b"sort=call,asset=00000000000000ff,patience=700,op=f73b8e92");
     host::prewarm(&mut out, "o1", "00000000000000ff", 2);
     host::abort(&mut out, "00000000000000aa");
     host::evict(&mut out, "00000000000000ff");
     host::alive(&mut out, "p1");
-    let commands: Vec<_> = std::iter::from_fn(|| host::take_command(&mut out).unwrap()).collect();
+    let commands: Vec<_> = std::iter::from_fn(|| host::decode_command(&mut out).unwrap()).collect();
     let words: Vec<_> = commands.iter().map(|c| String::from_utf8_lossy(&c[0]).into_owned()).collect();
     assert_eq!(words, ["invoke", "prewarm", "abort", "evict", "alive"]);
     assert_eq!(commands[1][2], b"asset=00000000000000ff,instances=2");
@@ -180,8 +180,11 @@
             answers.extend(std::iter::from_fn(|| decoder.decode().unwrap()));
         }
         let decoded: Vec<_> = answers.iter().map(|a| (a.word, a.rivals, a.instances, a.body.len())).collect();
-        assert_eq!(decoded, [(Word::Ok, 3, 0, 4), (Word::Busy, 0, 1, 0), (Word::Miss, 0, 0, 0)]);
-        assert!(!decoder.midway());
+        assert_eq!(
+            decoded,
+            [(AnswerStatus::Ok, 3, 0, 4), (AnswerStatus::Busy, 0, 1, 0), (AnswerStatus::Miss, 0, 0, 0)]
+        );
+        assert!(!decoder.has_incomplete_answer());
     }
 }
 
@@ -237,28 +240,28 @@
 #[test]
 fn a_directory_answer_is_decoded_completely_or_rejected() {
     let bytes = listing(41).to_vec().unwrap();
-    assert_eq!(directory::answer_id(&bytes), Some(9));
-    let listing_read = directory::answer(&bytes).unwrap();
+    assert_eq!(directory::message_id(&bytes), Some(9));
+    let listing_read = directory::decode_answer(&bytes).unwrap();
     assert_eq!(listing_read.serial, 41);
     let [one, two] = &listing_read.hosts[..] else { panic!("{listing_read:?}") };
     assert_eq!((one.id.as_str(), one.zone.as_str(), one.address.as_str()), ("s-1", "east", "127.0.9.1:5050"));
     assert_eq!((one.standing, one.started, one.cell, one.kind.as_str()), (Standing::In, 7_000, 1, "std"));
     assert_eq!(two.standing, Standing::Draining);
     for end in 0..bytes.len() {
-        assert!(directory::answer(&bytes[..end]).is_err(), "truncated at {end}");
+        assert!(directory::decode_answer(&bytes[..end]).is_err(), "truncated at {end}");
     }
     let mut cut = listing(41);
     cut.metadata.truncation = true;
     let truncated = DirectoryError::Incomplete("truncated");
-    assert_eq!(directory::answer(&cut.to_vec().unwrap()), Err(truncated));
+    assert_eq!(directory::decode_answer(&cut.to_vec().unwrap()), Err(truncated));
     let mut failed = listing(41);
     failed.metadata.response_code = ResponseCode::ServFail;
-    assert!(matches!(directory::answer(&failed.to_vec().unwrap()), Err(DirectoryError::Failed(_))));
+    assert!(matches!(directory::decode_answer(&failed.to_vec().unwrap()), Err(DirectoryError::Failed(_))));
     let mut bare = listing(41);
     bare.additionals.truncate(1);
-    assert!(matches!(directory::answer(&bare.to_vec().unwrap()), Err(DirectoryError::Incomplete(_))));
-    let query = directory::query(77).unwrap();
-    assert_eq!(directory::answer(&query), Err(DirectoryError::Unrelated), "a query is not an answer");
+    assert!(matches!(directory::decode_answer(&bare.to_vec().unwrap()), Err(DirectoryError::Incomplete(_))));
+    let query = directory::encode_query(77).unwrap();
+    assert_eq!(directory::decode_answer(&query), Err(DirectoryError::Unrelated), "a query is not an answer");
 }
 
 #[test]
@@ -334,6 +337,6 @@
         let start = at.min(message.len());
         let end = (start + bytes.len()).min(message.len());
         message[start..end].copy_from_slice(&bytes[..end - start]);
-        let _ = directory::answer(&message);
+        let _ = directory::decode_answer(&message);
     }
 }
--- a/crates/platform/src/directory.rs
+++ b/crates/platform/src/directory.rs
@@ -20,7 +20,7 @@
 use cresswheel_engine::{
     Contradictions, ListAge, ListValidator, ListValidity, ListVersion, PollTimes, REQUIRED_CONFIRMATIONS,
 };
-use cresswheel_platform_wire::directory::{self, Listing};
+use cresswheel_platform_wire::directory::{self, HostList};
 use cresswheel_transport::Hub;
 
 /// A gateway counts as notified of an event this long after it happened (protocol).
@@ -94,7 +94,7 @@
 
 impl Directory {
     /// Starts from a known list; `grace` is the time within which a notified drain must be obeyed.
-    pub fn new(now: Micros, address: SocketAddr, known: Listing, seed: u64, grace: Micros) -> Self {
+    pub fn new(now: Micros, address: SocketAddr, known: HostList, seed: u64, grace: Micros) -> Self {
         Self {
             socket: None,
             retired: VecDeque::new(),
@@ -208,8 +208,8 @@
             }
         }
         self.id = self.id.wrapping_add(1);
-        if let (Some(socket), Ok(query)) = (self.socket, directory::query(self.id)) {
-            hub.send_datagram(socket, &query);
+        if let (Some(socket), Ok(encode_query)) = (self.socket, directory::encode_query(self.id)) {
+            hub.send_datagram(socket, &encode_query);
             self.queries.push_back(Query { id: self.id, asked: now, is_answered: false });
         }
     }
@@ -267,13 +267,13 @@
     }
 
     /// The time of the answered query, and the list in the answer.
-    fn read(&mut self, bytes: &[u8]) -> Option<(Micros, Listing)> {
-        let id = directory::answer_id(bytes);
+    fn read(&mut self, bytes: &[u8]) -> Option<(Micros, HostList)> {
+        let id = directory::message_id(bytes);
         let Some(sent_query) = self.queries.iter_mut().find(|sent_query| Some(sent_query.id) == id) else {
             tracing::debug!("directory answer without a query");
             return None;
         };
-        match directory::answer(bytes) {
+        match directory::decode_answer(bytes) {
             Ok(listing) => {
                 sent_query.is_answered = true;
                 Some((sent_query.asked, listing))
--- a/crates/platform/src/directory/tests.rs
+++ b/crates/platform/src/directory/tests.rs
@@ -18,7 +18,7 @@
 fn directory_with_list(now: Micros, grace: Micros) -> (Directory, Hub, std::net::UdpSocket) {
     let socket = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
     let hub = Hub::new(cresswheel_transport::HubLimits::default()).unwrap();
-    let known = Listing { serial: 5, hosts: Vec::new() };
+    let known = HostList { serial: 5, hosts: Vec::new() };
     (Directory::new(now, socket.local_addr().unwrap(), known, 40, grace), hub, socket)
 }
 
--- a/crates/platform/src/front.rs
+++ b/crates/platform/src/front.rs
@@ -97,7 +97,7 @@
     pub fn drain(&mut self, hub: &mut Hub) {
         self.draining = true;
         for connection in self.connections.keys().copied() {
-            hub.write(connection, None, wire::leaving);
+            hub.write(connection, None, wire::encode_leaving);
         }
     }
 
@@ -166,7 +166,7 @@
         self.connections.insert(connection, client);
         self.by_slot.insert(slot(connection), connection);
         if self.draining {
-            hub.write(connection, None, wire::leaving);
+            hub.write(connection, None, wire::encode_leaving);
         }
     }
 
@@ -180,7 +180,7 @@
             };
             match client.decoder.decode() {
                 Ok(None) => {
-                    let held = client.decoder.midway();
+                    let held = client.decoder.incomplete_bytes();
                     return self.admission.on_event(now, slot(connection), ConnectionEvent::Received(held));
                 }
                 Ok(Some(frame)) => {
@@ -204,12 +204,12 @@
         let Some(client) = self.connections.get_mut(&connection) else { return };
         match frame {
             FromClient::Ready(stream) => {
-                hub.write(connection, None, |out| wire::ready(out, stream, is_ready));
+                hub.write(connection, None, |out| wire::encode_readiness(out, stream, is_ready));
                 self.admission.on_request(hub.clock().now(), slot(connection), "");
                 self.admission.on_answer(hub.clock().now(), slot(connection));
                 self.check_backlog(hub, connection);
             }
-            FromClient::TakenBack(stream) => {
+            FromClient::Canceled(stream) => {
                 if let Some(id) = client.streams.remove(&stream) {
                     self.ids.remove(&id);
                     self.admission.on_cancel(hub.clock().now(), slot(connection));
@@ -252,7 +252,7 @@
     /// Rejects a request that was never accepted: nothing ran.
     fn reject(&mut self, hub: &mut Hub, connection: Connection, stream: u32, why: &'static str) {
         *self.rejected.entry(why).or_insert(0) += 1;
-        hub.write(connection, None, |out| wire::answer(out, stream, Code::Refused, None, &[]));
+        hub.write(connection, None, |out| wire::encode_answer(out, stream, Code::Refused, None, &[]));
         self.check_backlog(hub, connection);
     }
 
@@ -263,7 +263,7 @@
             return;
         };
         tracing::debug!(connection, why, "protocol error on a client connection");
-        hub.write(connection, None, |out| wire::answer(out, 0, Code::Failed, None, why.as_bytes()));
+        hub.write(connection, None, |out| wire::encode_answer(out, 0, Code::Failed, None, why.as_bytes()));
         client.ending = true;
         if client.streams.is_empty() {
             hub.finish(connection);
@@ -292,7 +292,7 @@
         if !self.mark_answered(hub, connection, stream) {
             return;
         }
-        hub.write(connection, None, |out| wire::answer(out, stream, code, after, body));
+        hub.write(connection, None, |out| wire::encode_answer(out, stream, code, after, body));
         let done = self
             .connections
             .get(&connection)
@@ -352,7 +352,11 @@
                 if !client.timeout_extended && !hub.is_quiet(connection) =>
             {
                 client.timeout_extended = true;
-                self.admission.on_event(now, slot, ConnectionEvent::Received(client.decoder.midway()));
+                self.admission.on_event(
+                    now,
+                    slot,
+                    ConnectionEvent::Received(client.decoder.incomplete_bytes()),
+                );
             }
             // Open requests are still answered.
             (None, "half-sent" | "half-bytes" | "half-many") if !client.streams.is_empty() => {
--- a/crates/platform/src/hosts.rs
+++ b/crates/platform/src/hosts.rs
@@ -7,9 +7,9 @@
 use std::net::SocketAddr;
 
 use cresswheel::{FunctionId, Micros, WorkerId};
-use cresswheel_carriers::{Cargo, CarrierLimits, Carriers};
+use cresswheel_carriers::{CarrierLimits, ConnectionPool, Payload};
 use cresswheel_engine::{Attempt, AttemptEnd, Input, OrderEnd};
-use cresswheel_platform_wire::host::{self, HostAnswer, HostDecoder, Invoke, Word};
+use cresswheel_platform_wire::host::{self, AnswerStatus, HostAnswer, HostDecoder, Invoke};
 use cresswheel_protocol::{Ending, Listed, Standing};
 use cresswheel_transport::{Connection, ENDED, Hub, Sent};
 use foldhash::{HashMap, HashMapExt};
@@ -98,7 +98,7 @@
 
 /// Connections to all hosts.
 pub struct Hosts {
-    carriers: Carriers,
+    carriers: ConnectionPool,
     limits: CarrierLimits,
     /// Connection limit over all hosts.
     max_connections: usize,
@@ -116,7 +116,7 @@
 impl Hosts {
     pub fn new(limits: CarrierLimits, max_connections: usize, duplicate_windows: DuplicateWindows) -> Self {
         Self {
-            carriers: Carriers::default(),
+            carriers: ConnectionPool::default(),
             limits,
             max_connections,
             duplicate_windows,
@@ -158,7 +158,7 @@
                 ended.extend(self.withdraw_all(hub, &id));
             }
             if before.is_some_and(|before| before.address != address) {
-                self.carriers.all_leaving(&id);
+                self.carriers.mark_all_leaving(&id);
             }
             if before.is_some_and(|before| before.started != host.started) {
                 self.close_older(hub, &id, host.started);
@@ -171,7 +171,7 @@
         self.endpoints.remove(id);
         self.probe_requests.remove(id);
         let ended = self.withdraw_all(hub, id);
-        self.carriers.all_leaving(id);
+        self.carriers.mark_all_leaving(id);
         ended
     }
 
@@ -193,7 +193,7 @@
         &mut self,
         hub: &mut Hub,
         worker: &WorkerId,
-        (cargo, item): (Cargo, Outstanding),
+        (cargo, item): (Payload, Outstanding),
         id: &str,
         frame: impl FnOnce(&mut Vec<u8>),
     ) -> Option<Connection> {
@@ -213,7 +213,7 @@
         };
         let usable = |connection| item_of(connection).is_none_or(is_done);
         let to = (worker, endpoint.address);
-        let connection = self.carriers.give(hub, &limits, to, (cargo, frame), usable, |_| {})?;
+        let connection = self.carriers.dispatch(hub, &limits, to, (cargo, frame), usable, |_| {})?;
         self.connections_by_id
             .entry(connection)
             .or_insert_with(|| HostConnection::new(now))
@@ -238,11 +238,11 @@
             duplicate_window,
             is_repeatable,
         });
-        let cargo = Cargo::Attempt(attempt.number);
+        let cargo = Payload::Attempt(attempt.number);
         let frame = |out: &mut Vec<u8>| {
             let (id, class, function, once) = (&call.trace, &call.class, &call.function, &call.key);
             let (patience_ms, body) = (timeout_ms, &call.body);
-            host::invoke(out, &Invoke { id, class, function, once, patience_ms, body });
+            host::invoke(out, &Invoke { id, class, function, once, timeout_ms: patience_ms, body });
         };
         match self.dispatch(hub, &attempt.worker, (cargo, item), &call.trace, frame) {
             Some(connection) => {
@@ -260,7 +260,7 @@
     /// Sends a prewarm order; returns how it ended if it can't be sent.
     pub fn prewarm(&mut self, hub: &mut Hub, order: &Order) -> Option<Input> {
         let tag = format!("o{}", order.number);
-        let tagged = (Cargo::Order(order.number), Outstanding::Order(order.number));
+        let tagged = (Payload::Order(order.number), Outstanding::Order(order.number));
         let frame = |out: &mut Vec<u8>| host::prewarm(out, &tag, &order.function.0, order.count);
         match self.dispatch(hub, &order.worker, tagged, &tag, frame) {
             Some(connection) => {
@@ -273,7 +273,7 @@
 
     /// Whether an attempt or order is queued on a connection with no byte sent.
     pub fn is_unsent(&self, hub: &Hub, number: u64) -> bool {
-        self.carriers.is_waiting(hub, number)
+        self.carriers.is_unsent(hub, number)
     }
 
     /// Whether a byte of an attempt or order was sent on a connection that is still open.
@@ -286,7 +286,7 @@
 
     /// Removes an attempt or order from its connection's queue; false if a byte was sent or it isn't queued.
     pub fn unqueue(&mut self, hub: &mut Hub, number: u64) -> bool {
-        let removed = self.carriers.withdraw(hub, number);
+        let removed = self.carriers.cancel_if_unsent(hub, number);
         if removed {
             self.discard(number);
         }
@@ -315,14 +315,14 @@
 
     /// Sends an order to unload idle instances, if the host is connected.
     pub fn unload(&mut self, hub: &mut Hub, worker: &WorkerId, function: &FunctionId) {
-        self.carriers.tell(hub, worker, |out| host::evict(out, &function.0));
+        self.carriers.send_control(hub, worker, |out| host::evict(out, &function.0));
     }
 
     /// Probes a host that is connected; false if it isn't.
     pub fn probe(&mut self, hub: &mut Hub, worker: &WorkerId) -> bool {
         self.next_probe += 1;
         let tag = format!("p{}", self.next_probe);
-        let probed_on = self.carriers.tell(hub, worker, |out| host::alive(out, &tag));
+        let probed_on = self.carriers.send_control(hub, worker, |out| host::alive(out, &tag));
         let connection_state = probed_on.and_then(|connection| self.connections_by_id.get_mut(&connection));
         let Some(connection_state) = connection_state else { return false };
         connection_state.outstanding.insert(tag, Outstanding::Probe(hub.clock().now()));
@@ -331,7 +331,7 @@
 
     /// Cancels an attempt if its host doesn't have all of it; true if so: the host never gets the rest.
     pub fn withdraw(&mut self, hub: &mut Hub, attempt: u64) -> bool {
-        if self.carriers.withdraw(hub, attempt) {
+        if self.carriers.cancel_if_unsent(hub, attempt) {
             self.discard(attempt);
             return true;
         }
@@ -360,10 +360,10 @@
             _ => false,
         });
         if must_stay {
-            self.carriers.leaving(connection);
+            self.carriers.mark_leaving(connection);
             return false;
         }
-        self.carriers.done(hub, attempt);
+        self.carriers.complete(hub, attempt);
         self.discard(attempt);
         hub.close(connection, PARTIAL_SEND);
         true
@@ -397,7 +397,7 @@
         }
         let Some((connection, id)) = self.in_flight.remove(&attempt) else { return };
         tracing::debug!(connection, id, "abort");
-        self.carriers.call_off(hub, attempt, |out| host::abort(out, &id));
+        self.carriers.cancel(hub, attempt, |out| host::abort(out, &id));
         let Some(connection_state) = self.connections_by_id.get_mut(&connection) else { return };
         if let Some(Outstanding::Attempt(sent_attempt)) = connection_state.outstanding.get(&id).copied() {
             connection_state
@@ -406,13 +406,13 @@
             if connection_state.last_received <= sent_attempt.sent {
                 // Nothing was received since it was sent: the host may have gone silently, so the connection
                 // isn't reused.
-                self.carriers.leaving(connection);
+                self.carriers.mark_leaving(connection);
             }
         }
     }
 
     pub fn connected(&mut self, hub: &Hub, connection: Connection) {
-        self.carriers.stands(connection);
+        self.carriers.mark_established(connection);
         let now = hub.clock().now();
         self.connections_by_id
             .get_mut(&connection)
@@ -425,7 +425,7 @@
     }
 
     pub fn is_host_connection(&self, connection: Connection) -> bool {
-        self.carriers.is_ours(connection)
+        self.carriers.contains(connection)
     }
 
     /// Processes bytes from a host; returns what they ended.
@@ -464,7 +464,7 @@
                                 .insert(id, Outstanding::Done(now + sent_attempt.duplicate_window)),
                             _ => connection_state.outstanding.remove(&id),
                         };
-                        self.carriers.done(hub, number);
+                        self.carriers.complete(hub, number);
                         self.in_flight.remove(&number);
                         ended.push(input);
                     }
@@ -498,10 +498,10 @@
     ) -> Vec<Input> {
         let opened_at =
             self.connections_by_id.remove(&connection).map(|connection_state| connection_state.opened_at);
-        let sibling = self.carriers.has_sibling(connection);
+        let sibling = self.carriers.has_other_connection(connection);
         let never_stood =
             never_stood && !opened_at.is_some_and(|opened_at| self.received_since(connection, opened_at));
-        let mut ended = self.carriers.closed(connection, never_stood, unsent);
+        let mut ended = self.carriers.remove_closed(connection, never_stood, unsent);
         let in_order = sibling
             || why == PARTIAL_SEND
             || why == ENDED && !ended.iter().any(|input| matches!(input, Input::AttemptEnded(..)));
@@ -552,11 +552,11 @@
 }
 
 /// Interprets the answer to a probe. A draining host answers 'down' and completes what it has.
-fn probe_outcome(worker: WorkerId, word: Word, asked: Micros) -> Vec<Input> {
+fn probe_outcome(worker: WorkerId, word: AnswerStatus, asked: Micros) -> Vec<Input> {
     let said = |serves| Input::WorkerReported { worker: worker.clone(), serves, probed_at: asked };
     match word {
-        Word::Up => vec![said(true), Input::ProbeAnswered(worker)],
-        Word::Down => vec![said(false)],
+        AnswerStatus::Up => vec![said(true), Input::ProbeAnswered(worker)],
+        AnswerStatus::Down => vec![said(false)],
         _ => Vec::new(),
     }
 }
@@ -566,22 +566,22 @@
     let input = match item {
         Outstanding::Attempt(SentAttempt { number, .. }) => {
             let ending = match answer.word {
-                Word::Ok => Ending::Ok,
-                Word::Miss if answer.load_failed => Ending::LoadFailed,
-                Word::Miss => Ending::Miss,
-                Word::Busy => Ending::Full,
-                Word::Err => Ending::Error,
-                Word::Void => return Some((answer.id, ended(number, AttemptEnd::NotSent))),
-                Word::Up | Word::Down => return None,
+                AnswerStatus::Ok => Ending::Ok,
+                AnswerStatus::Miss if answer.load_failed => Ending::LoadFailed,
+                AnswerStatus::Miss => Ending::Miss,
+                AnswerStatus::Busy => Ending::Full,
+                AnswerStatus::Err => Ending::Error,
+                AnswerStatus::Void => return Some((answer.id, ended(number, AttemptEnd::NotSent))),
+                AnswerStatus::Up | AnswerStatus::Down => return None,
             };
             let end = AttemptEnd::Answered(ending, answer.rivals);
             Input::AttemptEnded(number, end, answer.body, None)
         }
         Outstanding::Order(order) => {
             let ending = match answer.word {
-                Word::Ok => Ending::Ok,
-                Word::Busy => Ending::Full,
-                Word::Err => Ending::Error,
+                AnswerStatus::Ok => Ending::Ok,
+                AnswerStatus::Busy => Ending::Full,
+                AnswerStatus::Err => Ending::Error,
                 _ => return None,
             };
             Input::OrderEnded(order, OrderEnd::Answered(ending), answer.instances)
--- a/crates/settings/src/plan.rs
+++ b/crates/settings/src/plan.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use cresswheel_versions::{Compare, Guard, Plan, Share, Step, Stick};
+use cresswheel_versions::{Affinity, Compare, Guard, Plan, Share, Step};
 
 use crate::SettingsError;
 use crate::fields::Fields;
@@ -26,7 +26,7 @@
         new: String::new(),
         old_digest: String::new(),
         new_digest: String::new(),
-        stick: Stick::Call,
+        stick: Affinity::Call,
         salt,
         steps: Vec::new(),
         guard,
@@ -89,7 +89,7 @@
     plan.new = fields.required_text("new");
     plan.old_digest = fields.text("old_digest").unwrap_or_default();
     plan.new_digest = fields.text("new_digest").unwrap_or_default();
-    let keywords = [("call", Stick::Call), ("tenant", Stick::Tenant), ("account", Stick::Account)];
+    let keywords = [("call", Affinity::Call), ("tenant", Affinity::Tenant), ("account", Affinity::Account)];
     plan.stick = fields.keyword("stick", &keywords).unwrap_or(plan.stick);
     plan.lease = fields.time("lease", plan.lease);
     plan.preload = fields.time("preload", plan.preload);
--- a/crates/soak/src/clients.rs
+++ b/crates/soak/src/clients.rs
@@ -3,7 +3,9 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-use cresswheel_platform_wire::client::{FromGateway, encode_bare, encode_request, take_from_gateway};
+use cresswheel_platform_wire::client::{
+    FromGateway, decode_from_gateway, encode_request, encode_without_fields,
+};
 use cresswheel_protocol::Micros;
 use cresswheel_transport::{Connection, Hub, HubLimits, Notice, Sent, Wire};
 use rand_pcg::Pcg32;
@@ -170,7 +172,7 @@
                 Going::TakeBack(connection, stream) => {
                     let open = self.lines.get_mut(&connection).and_then(|line| line.open.remove(&stream));
                     if let Some(id) = open {
-                        self.hub.write(connection, None, |out| encode_bare(out, false, stream));
+                        self.hub.write(connection, None, |out| encode_without_fields(out, false, stream));
                         self.ended(id, now, End::Left);
                     }
                 }
@@ -236,7 +238,7 @@
         line.held.extend_from_slice(bytes);
         let (mut ended, mut further) = (Vec::new(), Vec::new());
         loop {
-            match take_from_gateway(&mut line.held) {
+            match decode_from_gateway(&mut line.held) {
                 Ok(None) => break,
                 Ok(Some(FromGateway::Answer(stream, code, ..))) => match line.open.remove(&stream) {
                     Some(id) => {
--- a/crates/soak/src/directory.rs
+++ b/crates/soak/src/directory.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use cresswheel_platform_wire::directory::{Listing, answer_id, encode_listing};
+use cresswheel_platform_wire::directory::{HostList, encode_host_list, message_id};
 use cresswheel_protocol::Micros;
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::Rng;
@@ -56,7 +56,7 @@
         let mut bytes = [0; 512];
         while !self.world.is_over() {
             if let Ok((count, from)) = self.socket.recv_from(&mut bytes)
-                && let Some(id) = answer_id(&bytes[..count])
+                && let Some(id) = message_id(&bytes[..count])
             {
                 self.asked(id, from, plan);
             }
@@ -86,8 +86,8 @@
         let serial = 1 + event - gateway.knows;
         let stale = self.stale(now, &gateway, event, fault);
         let (serial, listed) = stale.unwrap_or((serial, event));
-        let listing = Listing { serial: serial as u64, hosts: events.list(listed) };
-        let mut bytes = match encode_listing(id, &listing) {
+        let listing = HostList { serial: serial as u64, hosts: events.list(listed) };
+        let mut bytes = match encode_host_list(id, &listing) {
             Ok(bytes) => bytes,
             Err(error) => {
                 let what = format!("no answer of the directory: {error}");
--- a/crates/soak/src/gateways.rs
+++ b/crates/soak/src/gateways.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use anyhow::Context;
-use cresswheel_platform_wire::client::{FromGateway, encode_bare, take_from_gateway};
+use cresswheel_platform_wire::client::{FromGateway, decode_from_gateway, encode_without_fields};
 use cresswheel_protocol::{Listed, Micros, Standing};
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
@@ -228,12 +228,12 @@
             let mut socket = TcpStream::connect(self.port.address())?;
             socket.set_read_timeout(Some(Duration::from_secs(1)))?;
             let mut bytes = Vec::new();
-            encode_bare(&mut bytes, true, 1);
+            encode_without_fields(&mut bytes, true, 1);
             socket.write_all(&bytes)?;
             let (mut held, mut part) = (Vec::new(), [0; 256]);
             let count = socket.read(&mut part)?;
             held.extend_from_slice(&part[..count]);
-            Ok(matches!(take_from_gateway(&mut held), Ok(Some(FromGateway::Ready(_, 0)))))
+            Ok(matches!(decode_from_gateway(&mut held), Ok(Some(FromGateway::Ready(_, 0)))))
         };
         asked().unwrap_or(false)
     }
--- a/crates/soak/src/hosts.rs
+++ b/crates/soak/src/hosts.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use cresswheel_platform_wire::host::{encode_answer, take_command};
+use cresswheel_platform_wire::host::{decode_command, encode_answer};
 use cresswheel_protocol::{Listed, Micros, Standing};
 use cresswheel_transport::{Connection, Hub, HubLimits, Notice, Wire};
 use rand_pcg::Pcg32;
@@ -147,7 +147,7 @@
         let Some(mut held) = self.held.remove(&connection) else { return };
         held.extend_from_slice(bytes);
         loop {
-            match take_command(&mut held) {
+            match decode_command(&mut held) {
                 Ok(None) => break,
                 Ok(Some(command)) => self.command(connection, came, &command),
                 Err(error) => {
--- a/crates/versions/examples/conductor_cost.rs
+++ b/crates/versions/examples/conductor_cost.rs
@@ -10,8 +10,8 @@
 
 use cresswheel_measure::{Series, resident_bytes, run_child_for_value, thread_cpu_time};
 use cresswheel_versions::{
-    Act, Callers, Conductor, End, Guard, Kind, LOOK_EVERY, Plan, Question, Record, Reply, Share, Side,
-    Status, Step, Stick, Versions,
+    Action, Affinity, CallerIdentity, End, Guard, JUDGE_INTERVAL, OrderKind, Plan, Record, RolloutController,
+    Share, Side, Status, Step, VersionReply, VersionRequest, Versions,
 };
 
 const SECOND: u64 = 1_000_000;
@@ -34,7 +34,7 @@
         new: "8".into(),
         old_digest: digest(7),
         new_digest: digest(8),
-        stick: Stick::Account,
+        stick: Affinity::Account,
         salt: [0x1234_5678_9abc_def0, 0x0fed_cba9_8765_4321],
         steps: [100, 1_000, 5_000, 10_000].map(step).to_vec(),
         guard: Guard {
@@ -59,8 +59,8 @@
     let plan = &record.plan;
     for number in 0..200 {
         let side = if number % 2 == 0 { Side::Old } else { Side::New };
-        versions.answered(&plan.function, side, "check", End::InTime, false);
-        versions.ran(&plan.function, &plan.routed(side), plan.digest(side), false);
+        versions.count_answer(&plan.function, side, "check", End::InTime, false);
+        versions.count_reported_version(&plan.function, &plan.routed_name(side), plan.digest(side), false);
     }
     versions.status(now, Some(&plan.function)).pop().expect("a status")
 }
@@ -71,11 +71,11 @@
 
 fn print_bytes() {
     let record = record("function-01234");
-    let renewal = Question::Renew(record.plan.function.clone(), record.mark());
-    let reply = Reply::Status(vec![status("gateway-001", &record, SECOND)]);
+    let renewal = VersionRequest::Renew(record.plan.function.clone(), record.precedence());
+    let reply = VersionReply::Status(vec![status("gateway-001", &record, SECOND)]);
     println!("bytes of JSON, a function and a gateway");
     println!("  renewal   {:>5}", json(&renewal));
-    println!("  order     {:>5}", json(&Question::Order(Box::new(record))));
+    println!("  order     {:>5}", json(&VersionRequest::Order(Box::new(record))));
     println!("  reply     {:>5}", json(&reply));
 }
 
@@ -83,16 +83,16 @@
 fn turn_us(gateways: usize) -> f64 {
     let record = record("function-01234");
     let reply = serde_json::to_vec(&status("gateway-001", &record, SECOND)).expect("JSON");
-    let mut conductor = Conductor::new(record, gateways, SECOND);
+    let mut conductor = RolloutController::new(record, gateways, SECOND);
     let mut now = SECOND;
     let mut turn = || {
         now += SECOND;
         for gateway in 0..gateways {
             let status = serde_json::from_slice(black_box(&reply)).expect("a status");
-            conductor.heard(gateway, now, Ok(Some(status)));
+            conductor.record_report(gateway, now, Ok(Some(status)));
         }
-        let acts = conductor.turn(now, 1);
-        assert!(acts.iter().all(|act| matches!(act, Act::Renew(_))), "nothing is ordered");
+        let acts = conductor.evaluate(now, 1);
+        assert!(acts.iter().all(|act| matches!(act, Action::Renew(_))), "nothing is ordered");
     };
     turn();
     let began = thread_cpu_time();
@@ -104,7 +104,7 @@
     let mut versions = Versions::new("gateway-001", 7, 680);
     for number in 0..functions {
         let record = record(&format!("function-{number:05}"));
-        assert_eq!(record.kind, Kind::Start);
+        assert_eq!(record.kind, OrderKind::Start);
         versions.act(SECOND, record);
     }
     versions
@@ -116,11 +116,11 @@
     let mut spent = 0.0;
     for round in 1..=5 {
         for number in 0..functions {
-            versions.answered(&format!("function-{number:05}"), Side::Old, "check", End::InTime, false);
+            versions.count_answer(&format!("function-{number:05}"), Side::Old, "check", End::InTime, false);
         }
         let began = thread_cpu_time();
-        black_box(versions.look(SECOND + round * LOOK_EVERY));
-        black_box(versions.expected(SECOND + round * LOOK_EVERY));
+        black_box(versions.judge(SECOND + round * JUDGE_INTERVAL));
+        black_box(versions.prewarm_targets(SECOND + round * JUDGE_INTERVAL));
         spent += (thread_cpu_time() - began).as_secs_f64() * 1e6;
     }
     spent / 5.0
@@ -133,7 +133,7 @@
     let began = thread_cpu_time();
     for number in 0..CALLS {
         let function = format!("function-{:05}", number % functions);
-        let callers = Callers { account: "account-7", ..Callers::default() };
+        let callers = CallerIdentity { account: "account-7", ..CallerIdentity::default() };
         black_box(versions.choose(SECOND, &function, &callers));
     }
     (thread_cpu_time() - began).as_secs_f64() * 1e6 / CALLS as f64
--- a/crates/versions/examples/guards.rs
+++ b/crates/versions/examples/guards.rs
@@ -3,7 +3,7 @@
 //!
 //! `cargo run --release -p cresswheel-versions --example guards [GATEWAYS] [CALLS_A_SECOND_EACH] [RUNS]`
 
-use cresswheel_versions::{Guard, Judge, Tally, promised_calls};
+use cresswheel_versions::{Guard, RegressionTest, Tally, expected_calls_to_detection};
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::Rng;
 
@@ -58,7 +58,7 @@
 }
 
 fn by_own_counts(fleet: &mut Fleet, guard: &Guard) -> Run {
-    let mut judges = vec![Judge::new(guard, fleet.gateways as u32); fleet.gateways];
+    let mut judges = vec![RegressionTest::new(guard, fleet.gateways as u32); fleet.gateways];
     let mut rolled_back = vec![false; fleet.gateways];
     let mut run = Run::default();
     for second in 1..=SECONDS {
@@ -81,7 +81,7 @@
 }
 
 fn by_sums(fleet: &mut Fleet, guard: &Guard) -> Run {
-    let mut judge = Judge::new(guard, 1);
+    let mut judge = RegressionTest::new(guard, 1);
     let mut run = Run::default();
     for second in 1..=SECONDS {
         let mut sum = Tallies::default();
@@ -100,7 +100,7 @@
 
 fn by_reports(fleet: &mut Fleet, guard: &Guard) -> Run {
     let n = fleet.gateways;
-    let mut judges = vec![Judge::new(guard, n as u32); n];
+    let mut judges = vec![RegressionTest::new(guard, n as u32); n];
     // What each gateway knows of each: the second of the latest counts, and the counts.
     let mut known = vec![vec![(0u32, Tallies::default()); n]; n];
     let mut judged = vec![Tallies::default(); n];
@@ -175,8 +175,10 @@
             let worst = all.iter().map(|run| run.new_calls).max().unwrap_or(0);
             let expected = match bad[0] < bad[1] {
                 // Without reports, each gateway needs the evidence by itself.
-                true if name == "own" => promised_calls(&guard, judges, SHARE, bad.into()) * gateways as f64,
-                true => promised_calls(&guard, judges, SHARE, bad.into()),
+                true if name == "own" => {
+                    expected_calls_to_detection(&guard, judges, SHARE, bad.into()) * gateways as f64
+                }
+                true => expected_calls_to_detection(&guard, judges, SHARE, bad.into()),
                 false => f64::INFINITY,
             };
             let any = all.iter().filter(|run| run.rolled_back > 0).count();
--- a/crates/versions/src/choice.rs
+++ b/crates/versions/src/choice.rs
@@ -28,7 +28,7 @@
     }
 
     /// Whether the share includes callers with this [`point`].
-    pub fn takes(self, point: u16) -> bool {
+    pub fn includes(self, point: u16) -> bool {
         point < self.0
     }
 }
@@ -61,7 +61,7 @@
 /// Affinity of versions: which calls get the same version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Stick {
+pub enum Affinity {
     /// Each call on its own; a client's retry, recognized by its key or trace, gets the version of the first
     /// try.
     Call,
@@ -73,7 +73,7 @@
 
 /// Identity of a caller as the call states it; empty where it does not.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Callers<'a> {
+pub struct CallerIdentity<'a> {
     /// The tenant.
     pub tenant: &'a str,
     /// The account.
@@ -86,10 +86,10 @@
     pub call: &'a str,
 }
 
-impl Stick {
+impl Affinity {
     /// The key that is hashed. `None`: the call does not state it, and gets the old version until the new one
     /// has all calls.
-    pub fn key<'a>(self, callers: &Callers<'a>) -> Option<&'a str> {
+    pub fn key<'a>(self, callers: &CallerIdentity<'a>) -> Option<&'a str> {
         match self {
             Self::Call => [callers.key, callers.trace, callers.call].into_iter().find(|key| !key.is_empty()),
             Self::Tenant => Some(callers.tenant).filter(|key| !key.is_empty()),
--- a/crates/versions/src/compare.rs
+++ b/crates/versions/src/compare.rs
@@ -21,11 +21,11 @@
     /// Whether both versions run the call with this id. The hash key is not the plan's, so that the compared
     /// calls are independent of the assignment of versions.
     pub fn takes(&self, salt: [u64; 2], call: &str) -> bool {
-        self.share.takes(point([!salt[1], !salt[0]], call))
+        self.share.includes(point([!salt[1], !salt[0]], call))
     }
 
     /// Whether two answers are equal within the tolerance.
-    pub fn same(&self, a: &[u8], b: &[u8]) -> bool {
+    pub fn answers_match(&self, a: &[u8], b: &[u8]) -> bool {
         a == b || (self.within > 0.0 && equal_within(a, b, self.within))
     }
 }
--- a/crates/versions/src/conductor.rs
+++ b/crates/versions/src/conductor.rs
@@ -2,7 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use crate::{Hold, Judge, Kind, Mark, Micros, Record, Share, Side, Stage, Status, Tally};
+use crate::{
+    Micros, OrderKind, Precedence, Record, RegressionTest, Share, ShareOverride, Side, Stage, Status, Tally,
+};
 
 /// Last report of a gateway.
 #[derive(Clone, Debug, Default)]
@@ -17,7 +19,7 @@
 
 /// A request to send.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Act {
+pub enum Action {
     /// Send the record to the gateways with these indexes, which don't have it yet.
     Order(Vec<usize>),
     /// Renew the lease of the record at the gateways with these indexes.
@@ -30,11 +32,11 @@
 /// Conducts one plan at all its gateways. [`Conductor::heard`] takes their reports; [`Conductor::turn`] then
 /// evaluates all of them together.
 #[derive(Debug)]
-pub struct Conductor {
+pub struct RolloutController {
     record: Record,
     started_at: Micros,
     gateways: Vec<GatewayReport>,
-    judge: Judge,
+    judge: RegressionTest,
     /// Counts at the last turn, by gateway and process incarnation.
     counted: BTreeMap<(usize, u64), Answers>,
     /// Since when all reachable gateways apply the record, and the answers of the old and new version since
@@ -48,11 +50,11 @@
     overruled: bool,
 }
 
-impl Conductor {
+impl RolloutController {
     /// Conducts this record at this many gateways.
     pub fn new(record: Record, gateways: usize, now: Micros) -> Self {
         Self {
-            judge: Judge::new(&record.plan.guard, 1),
+            judge: RegressionTest::new(&record.plan.guard, 1),
             started_at: now,
             record,
             gateways: vec![GatewayReport::default(); gateways],
@@ -86,14 +88,14 @@
     }
 
     /// Gives the next order, on behalf of `by`.
-    pub fn order(&mut self, kind: Kind, id: u64, at: Micros, by: &str, why: &str) -> Result<(), String> {
-        self.record = self.record.then(kind, id, at, by, why)?;
+    pub fn order(&mut self, kind: OrderKind, id: u64, at: Micros, by: &str, why: &str) -> Result<(), String> {
+        self.record = self.record.next(kind, id, at, by, why)?;
         (self.applied_since, self.step_answers) = (None, [0; 2]);
         Ok(())
     }
 
     /// Takes a gateway's answer, or the error of a request to it.
-    pub fn heard(&mut self, gateway: usize, now: Micros, result: Result<Option<Status>, String>) {
+    pub fn record_report(&mut self, gateway: usize, now: Micros, result: Result<Option<Status>, String>) {
         let Some(report) = self.gateways.get_mut(gateway) else { return };
         match result {
             Ok(status) => *report = GatewayReport { at: Some(now), status, error: None },
@@ -101,9 +103,9 @@
         }
     }
 
-    fn has_record(&self, gateway: usize, mark: Mark) -> bool {
+    fn has_record(&self, gateway: usize, mark: Precedence) -> bool {
         let status = self.gateways[gateway].status.as_ref();
-        status.is_some_and(|status| status.record.mark() == mark)
+        status.is_some_and(|status| status.record.precedence() == mark)
     }
 
     /// Whether the gateway's lease has certainly expired, so that it gives all calls to the old version.
@@ -115,21 +117,21 @@
     }
 
     /// Evaluates all reports since the last turn; `id` is the id of the order that this may give.
-    pub fn turn(&mut self, now: Micros, id: u64) -> Vec<Act> {
+    pub fn evaluate(&mut self, now: Micros, id: u64) -> Vec<Action> {
         self.adopt_newer();
         self.count(now);
-        if !self.record.is_over() {
+        if !self.record.has_ended() {
             self.decide(now, id);
         }
-        let mark = self.record.mark();
+        let mark = self.record.precedence();
         let (present, missing): (Vec<usize>, Vec<usize>) =
             (0..self.gateways.len()).partition(|gateway| self.has_record(*gateway, mark));
         let mut acts = Vec::new();
         if !missing.is_empty() {
-            acts.push(Act::Order(missing));
+            acts.push(Action::Order(missing));
         }
-        if !present.is_empty() && !self.record.is_over() {
-            acts.push(Act::Renew(present));
+        if !present.is_empty() && !self.record.has_ended() {
+            acts.push(Action::Renew(present));
         }
         acts
     }
@@ -137,8 +139,8 @@
     /// Adopts an order of somebody else that takes precedence.
     fn adopt_newer(&mut self) {
         let statuses = self.gateways.iter().filter_map(|report| report.status.as_ref());
-        let newest = statuses.map(|status| &status.record).max_by_key(|record| record.mark());
-        if let Some(newest) = newest.filter(|newest| newest.mark() > self.record.mark()) {
+        let newest = statuses.map(|status| &status.record).max_by_key(|record| record.precedence());
+        if let Some(newest) = newest.filter(|newest| newest.precedence() > self.record.precedence()) {
             self.record = newest.clone();
             self.overruled = true;
             (self.applied_since, self.step_answers) = (None, [0; 2]);
@@ -188,15 +190,17 @@
 
     fn decide(&mut self, now: Micros, id: u64) {
         let braked = self.gateways.iter().find_map(|report| match &report.status.as_ref()?.hold {
-            Some(Hold::Braked(why)) => Some(format!("{} braked: {why}", report.status.as_ref()?.gateway)),
+            Some(ShareOverride::Braked(why)) => {
+                Some(format!("{} braked: {why}", report.status.as_ref()?.gateway))
+            }
             _ => None,
         });
         if let Some(why) = self.regression().or(braked) {
             // This can't fail: a plan that has not ended can always be rolled back.
-            _ = self.order(Kind::RollBack, id, now, "guard", &why);
+            _ = self.order(OrderKind::RollBack, id, now, "guard", &why);
             return;
         }
-        let (mark, share) = (self.record.mark(), self.record.share());
+        let (mark, share) = (self.record.precedence(), self.record.share());
         let in_force = |gateway: &usize| {
             let share_applied =
                 self.gateways[*gateway].status.as_ref().is_some_and(|status| status.share == share);
@@ -222,13 +226,13 @@
         let last = at + 1 == self.record.plan.steps.len();
         self.judge.close();
         if let Some(why) = self.regression() {
-            _ = self.order(Kind::RollBack, id, now, "guard", &why);
+            _ = self.order(OrderKind::RollBack, id, now, "guard", &why);
             return;
         }
         // A last step below 100% stays in force until a person promotes the new version.
         if !last || share == Share::ALL {
-            let kind = if last { Kind::Promote } else { Kind::Widen };
-            let routed = self.record.plan.routed(Side::New);
+            let kind = if last { OrderKind::Promote } else { OrderKind::Widen };
+            let routed = self.record.plan.routed_name(Side::New);
             let why = format!("{new} answers of {routed} and nothing against it");
             _ = self.order(kind, id, now, "plan", &why);
         }
--- a/crates/versions/src/evidence.rs
+++ b/crates/versions/src/evidence.rs
@@ -100,7 +100,7 @@
 
 /// All comparisons of a guard.
 #[derive(Clone, Debug)]
-pub struct Judge {
+pub struct RegressionTest {
     threshold: f64,
     /// By class: the tests of errors and of late answers.
     odds_tests: BTreeMap<String, [OddsTest; 2]>,
@@ -116,7 +116,7 @@
 
 const OUTCOMES: [&str; 2] = ["errors", "late"];
 
-impl Judge {
+impl RegressionTest {
     /// Judges a version; the probability of a false alarm is at most the guard's over `judges` judges.
     pub fn new(guard: &Guard, judges: u32) -> Self {
         let odds_test = || OddsTest::new(guard.worse.max(1.0));
@@ -189,7 +189,7 @@
 /// argument this is the required evidence divided by the evidence per call. `bad` has the probabilities of a
 /// bad answer of the old and the new version. The estimate assumes many calls per window; the last window
 /// adds to it.
-pub fn promised_calls(guard: &Guard, judges: u32, share: f64, bad: (f64, f64)) -> f64 {
+pub fn expected_calls_to_detection(guard: &Guard, judges: u32, share: f64, bad: (f64, f64)) -> f64 {
     let (old, new) = bad;
     let streams = 2 * guard.classes.len() + usize::from(guard.compare.is_some());
     let comparisons = (streams * ALTERNATIVE_ODDS.len()) as f64;
--- a/crates/versions/src/lib.rs
+++ b/crates/versions/src/lib.rs
@@ -27,11 +27,11 @@
 /// Durations and points in time in microseconds.
 pub type Micros = u64;
 
-pub use choice::{Callers, Share, Stick, point};
+pub use choice::{Affinity, CallerIdentity, Share, point};
 pub use compare::{Compare, DifferenceTest};
-pub use conductor::{Act, Conductor, GatewayReport};
-pub use evidence::{ALTERNATIVE_ODDS, Judge, OddsTest, Regression, promised_calls};
+pub use conductor::{Action, GatewayReport, RolloutController};
+pub use evidence::{ALTERNATIVE_ODDS, OddsTest, Regression, RegressionTest, expected_calls_to_detection};
 pub use plan::{Guard, MAX_STEPS, Plan, Side, Step};
-pub use record::{Kind, Mark, Record, Stage};
-pub use rollout::{Expected, Hold, LOOK_EVERY, VersionChoice, Versions, Weight};
-pub use wire::{End, Question, Reply, Status, Tally};
+pub use record::{OrderKind, Precedence, Record, Stage};
+pub use rollout::{JUDGE_INTERVAL, PrewarmTarget, RecordOrder, ShareOverride, VersionChoice, Versions};
+pub use wire::{End, Status, Tally, VersionReply, VersionRequest};
--- a/crates/versions/src/plan.rs
+++ b/crates/versions/src/plan.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{Compare, Micros, Share, Stick};
+use crate::{Affinity, Compare, Micros, Share};
 
 /// Maximum number of steps of a plan; a guard has as many classes at most.
 pub const MAX_STEPS: usize = 100;
@@ -72,7 +72,7 @@
     /// Digest that workers must report for the new version; empty: not checked.
     pub new_digest: String,
     /// Affinity of versions.
-    pub stick: Stick,
+    pub stick: Affinity,
     /// Key of the hash that assigns versions.
     pub salt: [u64; 2],
     /// The steps, in order.
@@ -97,7 +97,7 @@
             new: new.into(),
             old_digest: String::new(),
             new_digest: String::new(),
-            stick: Stick::Account,
+            stick: Affinity::Account,
             salt,
             steps: Vec::new(),
             guard: Guard::new(Vec::new()),
@@ -114,7 +114,7 @@
     }
 
     /// Name under which a version is routed and loaded.
-    pub fn routed(&self, side: Side) -> String {
+    pub fn routed_name(&self, side: Side) -> String {
         let version = self.version(side);
         if version.is_empty() { self.function.clone() } else { format!("{}@{version}", self.function) }
     }
--- a/crates/versions/src/record.rs
+++ b/crates/versions/src/record.rs
@@ -7,7 +7,7 @@
 /// Kind of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Kind {
+pub enum OrderKind {
     /// Start a plan.
     Start,
     /// Go to the next step.
@@ -22,9 +22,9 @@
     RollBack,
 }
 
-impl Kind {
+impl OrderKind {
     /// The order as one word.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::Start => "start",
             Self::Widen => "widen",
@@ -58,7 +58,7 @@
     /// Random id of the order; tells a repeat of it from another order with the same epoch.
     pub id: u64,
     /// What was ordered.
-    pub kind: Kind,
+    pub kind: OrderKind,
     /// Stage of the plan after the order.
     pub stage: Stage,
     /// Whether the plan stays at this step until another order.
@@ -74,7 +74,7 @@
 /// Precedence of records: the greatest holds. Within one epoch the more cautious order wins, so that a
 /// rollback prevails if two operators give opposite orders at the same time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Mark {
+pub struct Precedence {
     /// Epoch of the record.
     pub epoch: u64,
     /// Greater for a smaller share; at equal shares a pause is more cautious, and a rollback more than that.
@@ -88,10 +88,10 @@
 
 impl Record {
     /// Precedence among the records of its function.
-    pub fn mark(&self) -> Mark {
+    pub fn precedence(&self) -> Precedence {
         let left = u32::from(Share::ALL.ten_thousandths() - self.share().ten_thousandths());
         let back = u32::from(self.stage == Stage::RolledBack);
-        Mark { epoch: self.epoch, caution: 4 * left + 2 * back + u32::from(self.paused), id: self.id }
+        Precedence { epoch: self.epoch, caution: 4 * left + 2 * back + u32::from(self.paused), id: self.id }
     }
 
     /// Share of the new version, unless a gateway deviates from it.
@@ -104,27 +104,27 @@
     }
 
     /// Whether the plan has ended.
-    pub fn is_over(&self) -> bool {
+    pub fn has_ended(&self) -> bool {
         !matches!(self.stage, Stage::Step(_))
     }
 
     /// The record of the next order after this one.
-    pub fn then(&self, kind: Kind, id: u64, at: Micros, by: &str, why: &str) -> Result<Self, String> {
+    pub fn next(&self, kind: OrderKind, id: u64, at: Micros, by: &str, why: &str) -> Result<Self, String> {
         let (function, step) = (&self.plan.function, self.stage);
         let done =
             |word: &str| Err(format!("{function}: the plan is {word} already, at epoch {}", self.epoch));
         let stage = match (kind, step) {
-            (Kind::Start, _) => return Err("a plan starts with a record of its own".into()),
+            (OrderKind::Start, _) => return Err("a plan starts with a record of its own".into()),
             // Any stage can be rolled back, even a promotion, while no other plan has started.
-            (Kind::RollBack, _) => Stage::RolledBack,
+            (OrderKind::RollBack, _) => Stage::RolledBack,
             (_, Stage::Promoted) => return done("promoted"),
             (_, Stage::RolledBack) => return done("rolled back"),
-            (Kind::Promote, _) => Stage::Promoted,
-            (Kind::Pause | Kind::Resume, _) => step,
-            (Kind::Widen, Stage::Step(at)) if at + 1 < self.plan.steps.len() => Stage::Step(at + 1),
-            (Kind::Widen, _) => return Err(format!("{function}: the plan is at its last step")),
+            (OrderKind::Promote, _) => Stage::Promoted,
+            (OrderKind::Pause | OrderKind::Resume, _) => step,
+            (OrderKind::Widen, Stage::Step(at)) if at + 1 < self.plan.steps.len() => Stage::Step(at + 1),
+            (OrderKind::Widen, _) => return Err(format!("{function}: the plan is at its last step")),
         };
-        let paused = kind == Kind::Pause;
+        let paused = kind == OrderKind::Pause;
         let (by, why) = (by.to_owned(), why.to_owned());
         Ok(Self { plan: self.plan.clone(), epoch: self.epoch + 1, id, kind, stage, paused, by, why, at })
     }
@@ -161,7 +161,7 @@
         }
         let epoch = before.map_or(0, |before| before.epoch) + 1;
         let (by, why) = (by.to_owned(), why.to_owned());
-        let (kind, stage) = (Kind::Start, Stage::Step(0));
+        let (kind, stage) = (OrderKind::Start, Stage::Step(0));
         Ok(Self { plan, epoch, id, kind, stage, paused: false, by, why, at })
     }
 
--- a/crates/versions/src/rollout.rs
+++ b/crates/versions/src/rollout.rs
@@ -5,7 +5,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    Callers, Compare, End, Judge, Mark, Micros, Plan, Record, Share, Side, Stage, Status, Tally, point,
+    CallerIdentity, Compare, End, Micros, Plan, Precedence, Record, RegressionTest, Share, Side, Stage,
+    Status, Tally, point,
 };
 
 /// Maximum number of functions with a plan.
@@ -13,7 +14,7 @@
 /// Maximum number of digests that are counted per version.
 const MAX_DIGESTS: usize = 16;
 /// How often a gateway judges by its own counts.
-pub const LOOK_EVERY: Micros = 1_000_000;
+pub const JUDGE_INTERVAL: Micros = 1_000_000;
 
 /// The version that a call gets when it arrives.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -29,7 +30,7 @@
 /// Why a gateway deviates from the share in its record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Hold {
+pub enum ShareOverride {
     /// The new version is being loaded; the previous share stays in force.
     Loading,
     /// All loads of the new version failed; the previous share stays in force.
@@ -43,7 +44,7 @@
 
 /// How an incoming record relates to the one in force.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Weight {
+pub enum RecordOrder {
     /// Newer: to be written to disk and then acted on.
     Newer,
     /// The one in force.
@@ -56,7 +57,7 @@
 
 /// A function to keep loaded although it gets few calls or none now.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Expected {
+pub struct PrewarmTarget {
     /// Routed name of the function.
     pub function: String,
     /// Routed name of the other version, whose calls it may have to take over.
@@ -78,7 +79,7 @@
     loaded: bool,
     /// Whether loads of the new version have failed and none has succeeded.
     load_failed: bool,
-    judge: Judge,
+    judge: RegressionTest,
     judged_at: Micros,
     judged_answers: BTreeMap<String, [Tally; 2]>,
     answers: BTreeMap<String, [Tally; 2]>,
@@ -89,23 +90,26 @@
 }
 
 impl Rollout {
-    fn share(&self, now: Micros) -> (Share, Option<Hold>) {
+    fn share(&self, now: Micros) -> (Share, Option<ShareOverride>) {
         let target = self.record.share();
-        if self.record.is_over() {
+        if self.record.has_ended() {
             return (target, None);
         }
         if let Some(why) = &self.braked {
-            return (Share::NONE, Some(Hold::Braked(why.clone())));
+            return (Share::NONE, Some(ShareOverride::Braked(why.clone())));
         }
         let lease = self.record.plan.lease;
         if lease > 0 && now > self.conductor_heard.saturating_add(lease) {
-            return (Share::NONE, Some(Hold::Lapsed));
+            return (Share::NONE, Some(ShareOverride::Lapsed));
         }
         let waited = now >= self.applied_at.saturating_add(self.record.plan.preload);
         if target <= self.previous_share || self.loaded || (waited && !self.load_failed) {
             return (target, None);
         }
-        (self.previous_share, Some(if self.load_failed { Hold::LoadsFail } else { Hold::Loading }))
+        (
+            self.previous_share,
+            Some(if self.load_failed { ShareOverride::LoadsFail } else { ShareOverride::Loading }),
+        )
     }
 }
 
@@ -134,20 +138,20 @@
 
     /// Compares an incoming record with the one in force. The caller writes a [`Weight::Newer`] record to
     /// disk before it passes it to [`Versions::act`].
-    pub fn weigh(&self, record: &Record) -> Weight {
+    pub fn weigh(&self, record: &Record) -> RecordOrder {
         let faults = record.faults();
         if !faults.is_empty() {
-            return Weight::Wrong(faults.join("; "));
+            return RecordOrder::Wrong(faults.join("; "));
         }
         match self.rollouts.get(&record.plan.function) {
             None if self.rollouts.len() >= MAX_FUNCTIONS => {
-                Weight::Wrong(format!("{MAX_FUNCTIONS} functions have plans already"))
+                RecordOrder::Wrong(format!("{MAX_FUNCTIONS} functions have plans already"))
             }
-            None => Weight::Newer,
-            Some(rollout) => match record.mark().cmp(&rollout.record.mark()) {
-                std::cmp::Ordering::Greater => Weight::Newer,
-                std::cmp::Ordering::Equal => Weight::Same,
-                std::cmp::Ordering::Less => Weight::Older,
+            None => RecordOrder::Newer,
+            Some(rollout) => match record.precedence().cmp(&rollout.record.precedence()) {
+                std::cmp::Ordering::Greater => RecordOrder::Newer,
+                std::cmp::Ordering::Equal => RecordOrder::Same,
+                std::cmp::Ordering::Less => RecordOrder::Older,
             },
         }
     }
@@ -160,16 +164,16 @@
     /// Puts a record into force that was read from disk, with the time when its conductor was last heard of
     /// and the reason if this gateway had found the new version to be worse.
     pub fn restore(&mut self, now: Micros, heard: Micros, record: Record, braked: Option<String>) {
-        if self.weigh(&record) != Weight::Newer {
+        if self.weigh(&record) != RecordOrder::Newer {
             return;
         }
         let function = record.plan.function.clone();
         let held = self.rollouts.remove(&function);
         let same_plan = held.filter(|held| held.record.plan.is_same_plan(&record.plan));
         for side in [Side::Old, Side::New] {
-            self.routed.entry(record.plan.routed(side)).or_default().insert(function.clone());
+            self.routed.entry(record.plan.routed_name(side)).or_default().insert(function.clone());
         }
-        let judge = || Judge::new(&record.plan.guard, self.gateways);
+        let judge = || RegressionTest::new(&record.plan.guard, self.gateways);
         // If the clock was set back, the lease must not last longer for it.
         let heard = heard.min(now);
         let rollout = match same_plan {
@@ -207,8 +211,8 @@
     }
 
     /// Renews the lease of the record with this mark; returns whether that record is in force.
-    pub fn renew(&mut self, now: Micros, function: &str, mark: Mark) -> bool {
-        let rollout = self.rollouts.get_mut(function).filter(|rollout| rollout.record.mark() == mark);
+    pub fn renew(&mut self, now: Micros, function: &str, mark: Precedence) -> bool {
+        let rollout = self.rollouts.get_mut(function).filter(|rollout| rollout.record.precedence() == mark);
         rollout.map(|rollout| rollout.conductor_heard = now).is_some()
     }
 
@@ -221,20 +225,20 @@
     }
 
     /// Assigns a version to an arriving call. `None`: the function has no versions.
-    pub fn choose(&self, now: Micros, function: &str, callers: &Callers) -> Option<VersionChoice> {
+    pub fn choose(&self, now: Micros, function: &str, callers: &CallerIdentity) -> Option<VersionChoice> {
         let rollout = self.rollouts.get(function)?;
         let (plan, share) = (&rollout.record.plan, rollout.share(now).0);
         let gets_new = match plan.stick.key(callers) {
-            Some(key) => share.takes(point(plan.salt, key)),
+            Some(key) => share.includes(point(plan.salt, key)),
             None => share == Share::ALL,
         };
         let side = if gets_new { Side::New } else { Side::Old };
-        Some(VersionChoice { routed: plan.routed(side), digest: plan.digest(side).into(), side })
+        Some(VersionChoice { routed: plan.routed_name(side), digest: plan.digest(side).into(), side })
     }
 
     /// Counts the final answer to a call with an assigned version; `erred`: an attempt of it ended in an
     /// error.
-    pub fn answered(&mut self, function: &str, side: Side, class: &str, end: End, erred: bool) {
+    pub fn count_answer(&mut self, function: &str, side: Side, class: &str, end: End, erred: bool) {
         let Some(rollout) = self.rollouts.get_mut(function) else { return };
         if !rollout.answers.contains_key(class) {
             rollout.answers.insert(class.into(), Default::default());
@@ -249,13 +253,13 @@
     }
 
     /// How answers of both versions are compared, with the plan that has the key for choosing the calls.
-    pub fn compare(&self, function: &str) -> Option<(&Plan, Compare)> {
+    pub fn comparison(&self, function: &str) -> Option<(&Plan, Compare)> {
         let plan = &self.rollouts.get(function)?.record.plan;
         plan.guard.compare.map(|compare| (plan, compare))
     }
 
     /// Counts a call that both versions answered.
-    pub fn compared(&mut self, function: &str, same: bool) {
+    pub fn count_comparison(&mut self, function: &str, same: bool) {
         if let Some(rollout) = self.rollouts.get_mut(function) {
             rollout.compared[0] += 1;
             rollout.compared[1] += u64::from(!same);
@@ -263,7 +267,7 @@
     }
 
     /// Counts an answer by what the worker reports to have run; `wrong`: it differs from what was requested.
-    pub fn ran(&mut self, function: &str, routed: &str, digest: &str, wrong: bool) {
+    pub fn count_reported_version(&mut self, function: &str, routed: &str, digest: &str, wrong: bool) {
         let Some(rollout) = self.rollouts.get_mut(function) else { return };
         rollout.wrong += u64::from(wrong);
         let digests = rollout.ran.entry(routed.into()).or_default();
@@ -273,10 +277,10 @@
     }
 
     /// A prewarm order for a routed name was answered; `is_loaded`: an instance is loaded.
-    pub fn loaded(&mut self, routed: &str, is_loaded: bool) {
+    pub fn load_ended(&mut self, routed: &str, is_loaded: bool) {
         for function in self.routed.get(routed).into_iter().flatten() {
             let Some(rollout) = self.rollouts.get_mut(function) else { continue };
-            if rollout.record.plan.routed(Side::New) == routed {
+            if rollout.record.plan.routed_name(Side::New) == routed {
                 rollout.loaded |= is_loaded;
                 rollout.load_failed = !is_loaded && !rollout.loaded;
             }
@@ -285,13 +289,13 @@
 
     /// Functions to keep loaded beyond the demand of their calls: the new version before its share grows, and
     /// the old one while a rollback is possible.
-    pub fn expected(&self, now: Micros) -> Vec<Expected> {
+    pub fn prewarm_targets(&self, now: Micros) -> Vec<PrewarmTarget> {
         let mut expected = Vec::new();
         for rollout in self.rollouts.values() {
             let plan = &rollout.record.plan;
-            let (old, new) = (plan.routed(Side::Old), plan.routed(Side::New));
+            let (old, new) = (plan.routed_name(Side::Old), plan.routed_name(Side::New));
             let recent = now < rollout.applied_at.saturating_add(plan.keep_old);
-            let keep = |function: &String, like: &String| Expected {
+            let keep = |function: &String, like: &String| PrewarmTarget {
                 function: function.clone(),
                 like: like.clone(),
             };
@@ -300,7 +304,7 @@
                 Stage::Promoted if recent => expected.push(keep(&old, &new)),
                 Stage::Promoted => {}
                 Stage::Step(_) => match rollout.share(now) {
-                    (_, Some(Hold::Lapsed | Hold::Braked(_))) => {}
+                    (_, Some(ShareOverride::Lapsed | ShareOverride::Braked(_))) => {}
                     (Share::ALL, _) => expected.push(keep(&old, &new)),
                     _ => expected.push(keep(&new, &old)),
                 },
@@ -311,10 +315,13 @@
 
     /// Judges by this gateway's own counts if it is time to. A returned function gets the old version from
     /// now on; the caller writes that to disk.
-    pub fn look(&mut self, now: Micros) -> Vec<String> {
+    pub fn judge(&mut self, now: Micros) -> Vec<String> {
         let mut braked = Vec::new();
         for (function, rollout) in &mut self.rollouts {
-            if rollout.record.is_over() || rollout.braked.is_some() || now < rollout.judged_at + LOOK_EVERY {
+            if rollout.record.has_ended()
+                || rollout.braked.is_some()
+                || now < rollout.judged_at + JUDGE_INTERVAL
+            {
                 continue;
             }
             rollout.judged_at = now;
--- a/crates/versions/src/wire.rs
+++ b/crates/versions/src/wire.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{Hold, Mark, Micros, Record, Share};
+use crate::{Micros, Precedence, Record, Share, ShareOverride};
 
 /// Counts of one version's answers to calls of one class.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -56,13 +56,13 @@
 /// A request to a gateway.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Question {
+pub enum VersionRequest {
     /// Accept this order.
     Order(Box<Record>),
     /// Report the state of one function or of all.
     Status(Option<String>),
     /// The conductor of the order with this mark is still active: renews the lease.
-    Renew(String, Mark),
+    Renew(String, Precedence),
     /// Report the last orders on a function, oldest first.
     History(String),
 }
@@ -70,7 +70,7 @@
 /// A gateway's answer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Reply {
+pub enum VersionReply {
     /// The current state.
     Status(Vec<Status>),
     /// Orders that it accepted.
@@ -91,7 +91,7 @@
     /// Share of the new version that the gateway applies.
     pub share: Share,
     /// Why that is not the order's share.
-    pub hold: Option<Hold>,
+    pub hold: Option<ShareOverride>,
     /// Time since the gateway last heard of the order's conductor.
     pub unheard: Micros,
     /// Answers since the gateway's start by class, of the old and the new version.
--- a/crates/versions/tests/choice.rs
+++ b/crates/versions/tests/choice.rs
@@ -24,7 +24,7 @@
         let points: Vec<u16> = (0..accounts).map(|n| point(salt, &format!("account-{n}"))).collect();
         for ten_thousandths in [1, 5, 100, 1_000, 2_500, 5_000, 9_999] {
             let share = Share::new(ten_thousandths).unwrap();
-            let taken = points.iter().filter(|point| share.takes(**point)).count() as f64;
+            let taken = points.iter().filter(|point| share.includes(**point)).count() as f64;
             let (n, p) = (f64::from(accounts), f64::from(ten_thousandths) / 1e4);
             let deviation = (taken - n * p) / (n * p * (1.0 - p)).sqrt();
             assert!(
@@ -32,7 +32,7 @@
                 "{share}: {taken} of {accounts}, {deviation:.1} standard deviations"
             );
         }
-        assert!(points.iter().all(|point| Share::ALL.takes(*point) && !Share::NONE.takes(*point)));
+        assert!(points.iter().all(|point| Share::ALL.includes(*point) && !Share::NONE.includes(*point)));
     }
 }
 
@@ -52,20 +52,20 @@
 
 #[test]
 fn version_affinity_follows_the_plan() {
-    let callers = Callers { tenant: "t", account: "a", key: "k", trace: "x", call: "c" };
-    assert_eq!(Stick::Tenant.key(&callers), Some("t"));
-    assert_eq!(Stick::Account.key(&callers), Some("a"));
-    assert_eq!(Stick::Call.key(&callers), Some("k"), "a retry with the same key gets the same version");
-    assert_eq!(Stick::Call.key(&Callers { key: "", ..callers }), Some("x"));
-    assert_eq!(Stick::Call.key(&Callers { key: "", trace: "", ..callers }), Some("c"));
-    assert_eq!(Stick::Account.key(&Callers { account: "", ..callers }), None);
+    let callers = CallerIdentity { tenant: "t", account: "a", key: "k", trace: "x", call: "c" };
+    assert_eq!(Affinity::Tenant.key(&callers), Some("t"));
+    assert_eq!(Affinity::Account.key(&callers), Some("a"));
+    assert_eq!(Affinity::Call.key(&callers), Some("k"), "a retry with the same key gets the same version");
+    assert_eq!(Affinity::Call.key(&CallerIdentity { key: "", ..callers }), Some("x"));
+    assert_eq!(Affinity::Call.key(&CallerIdentity { key: "", trace: "", ..callers }), Some("c"));
+    assert_eq!(Affinity::Account.key(&CallerIdentity { account: "", ..callers }), None);
     // A caller without an affinity key gets the old version until the new one has all calls.
     let mut versions = Versions::new("g", 1, 1);
     let mut record = start();
     versions.act(0, record.clone());
     let side = |versions: &Versions, now| versions.choose(now, "arrears", &account("")).unwrap().side;
     assert_eq!(side(&versions, 6 * SECOND), Side::Old);
-    record = then(&record, Kind::Promote, 2);
+    record = then(&record, OrderKind::Promote, 2);
     versions.act(7 * SECOND, record);
     assert_eq!(side(&versions, 8 * SECOND), Side::New);
     assert_eq!(versions.choose(8 * SECOND, "other", &account("a")), None, "a function without a plan");
@@ -109,8 +109,8 @@
             }
             prop_assert!(before.iter().zip(&now).all(|(before, now)| before <= now));
             before = now;
-            let kind = if at < 2 { Kind::Widen } else { Kind::Promote };
-            record = record.then(kind, at, 0, "", "").unwrap_or(record);
+            let kind = if at < 2 { OrderKind::Widen } else { OrderKind::Promote };
+            record = record.next(kind, at, 0, "", "").unwrap_or(record);
         }
         prop_assert!(before.iter().all(|side| *side == Side::New));
     }
--- a/crates/versions/tests/common/mod.rs
+++ b/crates/versions/tests/common/mod.rs
@@ -25,10 +25,10 @@
     Record::start(plan(), None, 1, 0, "ann", "").unwrap()
 }
 
-pub fn then(record: &Record, kind: Kind, id: u64) -> Record {
-    record.then(kind, id, 0, "ann", "").unwrap()
+pub fn then(record: &Record, kind: OrderKind, id: u64) -> Record {
+    record.next(kind, id, 0, "ann", "").unwrap()
 }
 
-pub fn account(name: &str) -> Callers<'_> {
-    Callers { account: name, ..Callers::default() }
+pub fn account(name: &str) -> CallerIdentity<'_> {
+    CallerIdentity { account: name, ..CallerIdentity::default() }
 }
--- a/crates/versions/tests/compare.rs
+++ b/crates/versions/tests/compare.rs
@@ -9,8 +9,8 @@
 #[test]
 fn answers_are_compared_by_bytes_or_with_a_tolerance_for_numbers() {
     let exact = compare(0.0);
-    assert!(exact.same(b"{\"due\": 100}", b"{\"due\": 100}"));
-    assert!(!exact.same(b"{\"due\": 100}", b"{\"due\": 100.0}"));
+    assert!(exact.answers_match(b"{\"due\": 100}", b"{\"due\": 100}"));
+    assert!(!exact.answers_match(b"{\"due\": 100}", b"{\"due\": 100.0}"));
     let near = compare(0.01);
     for (a, b, same) in [
         ("{\"due\": 100}", "{\"due\": 100.0}", true),
@@ -27,10 +27,12 @@
         ("", "0", false),
         ("-", "+", false),
     ] {
-        assert_eq!(near.same(a.as_bytes(), b.as_bytes()), same, "{a} and {b}");
-        assert_eq!(near.same(b.as_bytes(), a.as_bytes()), same, "{b} and {a}");
+        assert_eq!(near.answers_match(a.as_bytes(), b.as_bytes()), same, "{a} and {b}");
+        assert_eq!(near.answers_match(b.as_bytes(), a.as_bytes()), same, "{b} and {a}");
     }
-    assert!(near.same(&[255, 0, 7], &[255, 0, 7]) && !near.same(&[255, 0, 7], &[255, 1, 7]));
+    assert!(
+        near.answers_match(&[255, 0, 7], &[255, 0, 7]) && !near.answers_match(&[255, 0, 7], &[255, 1, 7])
+    );
 }
 
 /// Over all outcomes of twelve pairs, the expected evidence is one at the tolerated share of differing
@@ -54,12 +56,12 @@
 #[test]
 fn differing_answers_are_found_beyond_the_tolerance_and_accepted_within_it() {
     let guard = Guard { compare: Some(compare(0.0)), ..Guard::new(vec!["c".into()]) };
-    let mut judge = Judge::new(&guard, 1);
+    let mut judge = RegressionTest::new(&guard, 1);
     judge.compared(1_000, 10);
     assert_eq!(judge.verdict(), None);
     judge.compared(50, 20);
     assert_eq!(judge.verdict().map(|worse| worse.metric), Some("differing answers"));
-    let mut absurd = Judge::new(&guard, 1);
+    let mut absurd = RegressionTest::new(&guard, 1);
     absurd.compared(u64::MAX, u64::MAX);
     absurd.compared(3, 9);
     let _ = absurd.verdict();
--- a/crates/versions/tests/conductor.rs
+++ b/crates/versions/tests/conductor.rs
@@ -14,7 +14,7 @@
     now: u64,
     gateways: Vec<Versions>,
     unreachable: BTreeSet<usize>,
-    conductor: Conductor,
+    conductor: RolloutController,
     rng: Pcg32,
     /// Calls per second at each gateway, and the probability of an error of the old and the new version.
     calls_per_second: u32,
@@ -31,7 +31,7 @@
             now: 0,
             gateways: (0..gateways).map(gateway).collect(),
             unreachable: BTreeSet::new(),
-            conductor: Conductor::new(record, gateways, 0),
+            conductor: RolloutController::new(record, gateways, 0),
             rng: Pcg32::new(9, 9),
             calls_per_second: 100,
             error_rates: [0.01, 0.01],
@@ -54,7 +54,7 @@
                 };
                 self.new_calls += u64::from(chosen.side == Side::New);
                 let bad = self.random() < self.error_rates[chosen.side as usize];
-                self.gateways[at].answered(
+                self.gateways[at].count_answer(
                     "arrears",
                     chosen.side,
                     "estimate",
@@ -62,24 +62,24 @@
                     false,
                 );
             }
-            self.gateways[at].look(self.now);
+            self.gateways[at].judge(self.now);
         }
-        for act in self.conductor.turn(self.now, 1_000 + self.now) {
+        for act in self.conductor.evaluate(self.now, 1_000 + self.now) {
             let record = self.conductor.record().clone();
             let which = match &act {
-                Act::Order(which) | Act::Renew(which) => which.clone(),
+                Action::Order(which) | Action::Renew(which) => which.clone(),
             };
             for at in which {
                 if self.unreachable.contains(&at) {
-                    self.conductor.heard(at, self.now, Err("unreachable".into()));
+                    self.conductor.record_report(at, self.now, Err("unreachable".into()));
                     continue;
                 }
                 match act {
-                    Act::Order(_) => self.gateways[at].act(self.now, record.clone()),
-                    Act::Renew(_) => _ = self.gateways[at].renew(self.now, "arrears", record.mark()),
+                    Action::Order(_) => self.gateways[at].act(self.now, record.clone()),
+                    Action::Renew(_) => _ = self.gateways[at].renew(self.now, "arrears", record.precedence()),
                 }
                 let status = self.gateways[at].status(self.now, Some("arrears")).into_iter().next();
-                self.conductor.heard(at, self.now, Ok(status));
+                self.conductor.record_report(at, self.now, Ok(status));
             }
         }
     }
@@ -128,7 +128,7 @@
 fn a_bad_version_at_one_percent_is_rolled_back_at_all_gateways() {
     let mut fleet = Fleet::new(20, Plan { preload: 0, ..plan() });
     fleet.error_rates = [0.002, 0.6];
-    let predicted = promised_calls(&plan().guard, 1, 0.01, (0.002, 0.6));
+    let predicted = expected_calls_to_detection(&plan().guard, 1, 0.01, (0.002, 0.6));
     fleet.run_seconds(12);
     assert_eq!(fleet.stage(), Stage::RolledBack);
     assert_eq!(fleet.conductor.record().by, "guard");
@@ -171,7 +171,7 @@
     let mut fleet = Fleet::new(3, plan());
     fleet.run_seconds(10);
     fleet.unreachable.insert(0);
-    fleet.conductor.order(Kind::RollBack, 5, fleet.now, "bob", "").unwrap();
+    fleet.conductor.order(OrderKind::RollBack, 5, fleet.now, "bob", "").unwrap();
     fleet.run_second();
     assert_eq!(fleet.shares(), [100, 0, 0]);
     fleet.run_seconds(31);
@@ -182,12 +182,12 @@
 fn orders_of_another_operator_are_adopted() {
     let mut fleet = Fleet::new(3, plan());
     fleet.run_seconds(8);
-    let paused = then(fleet.conductor.record(), Kind::Pause, 50);
+    let paused = then(fleet.conductor.record(), OrderKind::Pause, 50);
     fleet.gateways[1].act(fleet.now, paused);
     fleet.run_seconds(60);
     assert!(fleet.conductor.record().paused && fleet.conductor.overruled());
     assert_eq!(fleet.shares(), [100; 3], "paused everywhere by an order at one gateway");
-    let back = then(fleet.conductor.record(), Kind::RollBack, 51);
+    let back = then(fleet.conductor.record(), OrderKind::RollBack, 51);
     fleet.gateways[2].act(fleet.now, back);
     fleet.run_seconds(2);
     assert_eq!((fleet.stage(), fleet.shares()), (Stage::RolledBack, vec![0; 3]));
@@ -223,7 +223,7 @@
     let mut fleet = Fleet::new(2, Plan { steps: vec![step(1_000, 2 * SECOND)], ..plan() });
     fleet.run_seconds(60);
     assert_eq!(fleet.stage(), Stage::Step(0));
-    fleet.conductor.order(Kind::Promote, 5, fleet.now, "bob", "").unwrap();
+    fleet.conductor.order(OrderKind::Promote, 5, fleet.now, "bob", "").unwrap();
     fleet.run_second();
     assert_eq!(fleet.shares(), [10_000; 2]);
 }
@@ -236,11 +236,11 @@
     let before = fleet.conductor.record().clone();
     let next = Plan { old: "8".into(), new: "9".into(), salt: [8, 8], preload: 0, ..plan() };
     let record = Record::start(next, Some(&before), 900, fleet.now, "ann", "").unwrap();
-    fleet.conductor = Conductor::new(record, 3, fleet.now);
+    fleet.conductor = RolloutController::new(record, 3, fleet.now);
     // The tool reads the state before it sends the order, and gets that of the previous plan.
     for at in 0..3 {
         let status = fleet.gateways[at].status(fleet.now, None).into_iter().next();
-        fleet.conductor.heard(at, fleet.now, Ok(status));
+        fleet.conductor.record_report(at, fleet.now, Ok(status));
     }
     fleet.run_second();
     (fleet.error_rates, fleet.new_calls) = ([0.01, 0.9], 0);
@@ -266,7 +266,7 @@
     let mut fleet = Fleet::new(3, plan);
     fleet.run_seconds(3);
     for n in 0..40 {
-        fleet.gateways[n % 3].compared("arrears", n % 2 == 0);
+        fleet.gateways[n % 3].count_comparison("arrears", n % 2 == 0);
     }
     fleet.run_seconds(3);
     assert_eq!(fleet.stage(), Stage::RolledBack);
--- a/crates/versions/tests/epochs.rs
+++ b/crates/versions/tests/epochs.rs
@@ -14,7 +14,7 @@
 const GATEWAYS: usize = 3;
 
 /// The parts of a record that differ within this test.
-type RecordKey = (u64, Kind, Stage, bool, u64);
+type RecordKey = (u64, OrderKind, Stage, bool, u64);
 
 fn key(record: &Record) -> RecordKey {
     (record.epoch, record.kind, record.stage, record.paused, record.id)
@@ -25,8 +25,8 @@
     Record { epoch, kind, stage, paused, id, ..start() }
 }
 
-fn mark(key: Option<RecordKey>) -> Mark {
-    key.map_or(Mark::default(), |key| record(key).mark())
+fn mark(key: Option<RecordKey>) -> Precedence {
+    key.map_or(Precedence::default(), |key| record(key).precedence())
 }
 
 thread_local! {
@@ -40,7 +40,7 @@
         *cache.entry((held, incoming)).or_insert_with(|| {
             let mut versions = Versions::new("g", 1, GATEWAYS as u32);
             held.into_iter().for_each(|held| versions.act(0, record(held)));
-            versions.weigh(&record(incoming)) == Weight::Newer
+            versions.weigh(&record(incoming)) == RecordOrder::Newer
         })
     })
 }
@@ -82,7 +82,7 @@
 
 /// Sequences of conflicting orders of two operators.
 struct Scenario {
-    orders: [&'static [Kind]; 2],
+    orders: [&'static [OrderKind]; 2],
     kills: usize,
     repeats: usize,
 }
@@ -135,7 +135,7 @@
                 let id = 10 * (operator as u64 + 1) + next.operators[operator] as u64;
                 // A gateway reports the record that it acts on. An order that is invalid after it is not
                 // given.
-                if let Ok(order) = record(next.gateways[at].acts?).then(kind, id, 0, "", "") {
+                if let Ok(order) = record(next.gateways[at].acts?).next(kind, id, 0, "", "") {
                     next.orders.push((key(&order), [true; GATEWAYS]));
                 }
             }
@@ -213,8 +213,11 @@
 
 #[test]
 fn all_sequences_of_deliveries_and_kills_end_in_the_greatest_record() {
-    let scenario =
-        Scenario { orders: [&[Kind::Widen, Kind::Widen], &[Kind::RollBack]], kills: 2, repeats: 1 };
+    let scenario = Scenario {
+        orders: [&[OrderKind::Widen, OrderKind::Widen], &[OrderKind::RollBack]],
+        kills: 2,
+        repeats: 1,
+    };
     let checked = scenario.checker().threads(2).spawn_bfs().join();
     checked.assert_properties();
     eprintln!("{} states", checked.unique_state_count());
@@ -223,8 +226,11 @@
 
 #[test]
 fn all_sequences_of_a_promotion_and_a_pause_end_in_one_record() {
-    let scenario =
-        Scenario { orders: [&[Kind::Promote], &[Kind::Pause, Kind::RollBack]], kills: 1, repeats: 0 };
+    let scenario = Scenario {
+        orders: [&[OrderKind::Promote], &[OrderKind::Pause, OrderKind::RollBack]],
+        kills: 1,
+        repeats: 0,
+    };
     let checked = scenario.checker().threads(2).spawn_bfs().join();
     for property in
         ["no gateway acts on a record that is not on disk", "an older order never replaces a newer one"]
--- a/crates/versions/tests/evidence.rs
+++ b/crates/versions/tests/evidence.rs
@@ -71,7 +71,7 @@
     bad: (f64, f64),
     max_windows: u32,
 ) -> Option<u64> {
-    let mut judge = Judge::new(guard, 1);
+    let mut judge = RegressionTest::new(guard, 1);
     let mut new_answers = 0;
     for _ in 0..max_windows {
         let (mut old, mut new) = (Tally::default(), Tally::default());
@@ -111,7 +111,7 @@
     for (share, calls, bad) in
         [(0.01, 2_000, (0.002, 0.5)), (0.01, 2_000, (0.01, 0.1)), (0.1, 500, (0.01, 1.0))]
     {
-        let predicted = promised_calls(&guard, 1, share, bad);
+        let predicted = expected_calls_to_detection(&guard, 1, share, bad);
         let each = share * f64::from(calls);
         let found: Vec<u64> =
             (0..100).map(|_| run(&mut rng, &guard, share, calls, bad, 2_000).expect("found")).collect();
@@ -125,7 +125,7 @@
 #[test]
 fn the_verdict_names_the_class_and_what_was_worse() {
     let guard = plan().guard;
-    let mut judge = Judge::new(&guard, 1);
+    let mut judge = RegressionTest::new(&guard, 1);
     let tally = |answered, errors, late| Tally { answered, errors, late, erred: errors };
     judge.add("unguarded", &tally(1_000, 0, 0), &tally(1_000, 900, 0));
     judge.add("post", &tally(1_000, 10, 20), &tally(100, 1, 2));
@@ -135,9 +135,9 @@
     assert_eq!((worse.class.as_str(), worse.metric), ("post", "late"));
     assert!(worse.to_string().starts_with("post: more late than the old version's, evidence "));
     // Each of many judges needs stronger evidence, so that together they keep the false alarm rate.
-    let mut one_of_many = Judge::new(&guard, 260);
+    let mut one_of_many = RegressionTest::new(&guard, 260);
     one_of_many.add("post", &tally(1_000, 10, 0), &tally(20, 6, 0));
-    let mut alone = Judge::new(&guard, 1);
+    let mut alone = RegressionTest::new(&guard, 1);
     alone.add("post", &tally(1_000, 10, 0), &tally(20, 6, 0));
     assert!(alone.verdict().is_some() && one_of_many.verdict().is_none());
 }
@@ -145,7 +145,7 @@
 /// Answers that arrive one at a time, never of both versions together, are compared all the same.
 #[test]
 fn a_window_lasts_until_both_versions_have_answers() {
-    let mut judge = Judge::new(&plan().guard, 1);
+    let mut judge = RegressionTest::new(&plan().guard, 1);
     let one = |erred| Tally { answered: 1, erred, errors: 0, late: 0 };
     let none = Tally::default();
     for _ in 0..30 {
@@ -154,7 +154,7 @@
     }
     assert_eq!(judge.verdict().map(|worse| worse.metric), Some("errors"));
     // `close` ends the current window before a decision.
-    let mut short = Judge::new(&plan().guard, 1);
+    let mut short = RegressionTest::new(&plan().guard, 1);
     for _ in 0..15 {
         short.add("post", &one(0), &none);
         short.add("post", &none, &one(1));
--- a/crates/versions/tests/rollouts.rs
+++ b/crates/versions/tests/rollouts.rs
@@ -7,7 +7,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-fn share(versions: &Versions, now: u64) -> (u16, Option<Hold>) {
+fn share(versions: &Versions, now: u64) -> (u16, Option<ShareOverride>) {
     let status = versions.status(now, Some("arrears")).remove(0);
     (status.share.ten_thousandths(), status.hold)
 }
@@ -22,13 +22,13 @@
 fn the_share_grows_when_the_new_version_is_loaded_or_the_preload_time_is_over() {
     let record = start();
     let mut versions = gateway_with(&record);
-    assert_eq!(share(&versions, SECOND), (0, Some(Hold::Loading)));
-    let expected = Expected { function: "arrears@8".into(), like: "arrears@7".into() };
-    assert_eq!(versions.expected(SECOND), [expected]);
+    assert_eq!(share(&versions, SECOND), (0, Some(ShareOverride::Loading)));
+    let expected = PrewarmTarget { function: "arrears@8".into(), like: "arrears@7".into() };
+    assert_eq!(versions.prewarm_targets(SECOND), [expected]);
     // Loads of the old version don't count.
-    versions.loaded("arrears@7", true);
-    assert_eq!(share(&versions, SECOND), (0, Some(Hold::Loading)));
-    versions.loaded("arrears@8", true);
+    versions.load_ended("arrears@7", true);
+    assert_eq!(share(&versions, SECOND), (0, Some(ShareOverride::Loading)));
+    versions.load_ended("arrears@8", true);
     assert_eq!(share(&versions, SECOND), (100, None));
     // Without news of any load, the end of the preload time is enough.
     assert_eq!(share(&gateway_with(&record), 5 * SECOND), (100, None));
@@ -37,11 +37,11 @@
 #[test]
 fn a_version_that_cannot_be_loaded_gets_no_calls() {
     let mut versions = gateway_with(&start());
-    versions.loaded("arrears@8", false);
-    assert_eq!(share(&versions, 20 * SECOND), (0, Some(Hold::LoadsFail)));
-    versions.loaded("arrears@8", true);
+    versions.load_ended("arrears@8", false);
+    assert_eq!(share(&versions, 20 * SECOND), (0, Some(ShareOverride::LoadsFail)));
+    versions.load_ended("arrears@8", true);
     assert_eq!(share(&versions, 20 * SECOND), (100, None));
-    versions.loaded("arrears@8", false);
+    versions.load_ended("arrears@8", false);
     assert_eq!(
         share(&versions, 21 * SECOND),
         (100, None),
@@ -53,18 +53,18 @@
 fn a_gateway_without_contact_keeps_its_share_until_the_lease_expires() {
     let record = start();
     let mut versions = gateway_with(&record);
-    versions.loaded("arrears@8", true);
+    versions.load_ended("arrears@8", true);
     assert_eq!(share(&versions, 30 * SECOND), (100, None));
-    assert_eq!(share(&versions, 30 * SECOND + 1), (0, Some(Hold::Lapsed)));
-    assert!(versions.expected(31 * SECOND).is_empty());
+    assert_eq!(share(&versions, 30 * SECOND + 1), (0, Some(ShareOverride::Lapsed)));
+    assert!(versions.prewarm_targets(31 * SECOND).is_empty());
     assert!(
-        !versions.renew(40 * SECOND, "arrears", Mark::default()),
+        !versions.renew(40 * SECOND, "arrears", Precedence::default()),
         "a conductor of another order does not renew the lease"
     );
-    assert!(versions.renew(40 * SECOND, "arrears", record.mark()));
+    assert!(versions.renew(40 * SECOND, "arrears", record.precedence()));
     assert_eq!(share(&versions, 41 * SECOND), (100, None), "the current step applies again");
     // A plan that has ended needs no lease.
-    versions.act(42 * SECOND, then(&record, Kind::Promote, 2));
+    versions.act(42 * SECOND, then(&record, OrderKind::Promote, 2));
     assert_eq!(share(&versions, 9_000 * SECOND), (10_000, None));
 }
 
@@ -77,38 +77,38 @@
         share(&versions, 106 * SECOND)
     };
     assert_eq!(restored(90 * SECOND), (100, None));
-    assert_eq!(restored(70 * SECOND), (0, Some(Hold::Lapsed)));
+    assert_eq!(restored(70 * SECOND), (0, Some(ShareOverride::Lapsed)));
     assert_eq!(restored(900 * SECOND), (100, None), "a clock that was set back does not extend the lease");
     let mut versions = Versions::new("g", 2, 4);
     versions.restore(100 * SECOND, 900 * SECOND, record.clone(), None);
-    assert_eq!(share(&versions, 131 * SECOND), (0, Some(Hold::Lapsed)));
+    assert_eq!(share(&versions, 131 * SECOND), (0, Some(ShareOverride::Lapsed)));
     versions = Versions::new("g", 2, 4);
     versions.restore(100 * SECOND, 100 * SECOND, record.clone(), Some("as seen".into()));
-    assert_eq!(share(&versions, 106 * SECOND), (0, Some(Hold::Braked("as seen".into()))));
+    assert_eq!(share(&versions, 106 * SECOND), (0, Some(ShareOverride::Braked("as seen".into()))));
 }
 
 #[test]
 fn own_counts_brake_the_rollout_until_a_newer_order() {
-    let record = then(&then(&start(), Kind::Widen, 2), Kind::Pause, 3);
+    let record = then(&then(&start(), OrderKind::Widen, 2), OrderKind::Pause, 3);
     let mut versions = gateway_with(&record);
-    versions.loaded("arrears@8", true);
+    versions.load_ended("arrears@8", true);
     let answer = |versions: &mut Versions, side, good: u32, bad: u32| {
-        (0..good).for_each(|_| versions.answered("arrears", side, "post", End::InTime, false));
-        (0..bad).for_each(|_| versions.answered("arrears", side, "post", End::InTime, true));
+        (0..good).for_each(|_| versions.count_answer("arrears", side, "post", End::InTime, false));
+        (0..bad).for_each(|_| versions.count_answer("arrears", side, "post", End::InTime, true));
     };
     answer(&mut versions, Side::Old, 900, 2);
     answer(&mut versions, Side::New, 90, 10);
-    assert!(versions.look(SECOND + SECOND / 2).is_empty(), "answers within the settle time are not judged");
+    assert!(versions.judge(SECOND + SECOND / 2).is_empty(), "answers within the settle time are not judged");
     answer(&mut versions, Side::Old, 900, 2);
     answer(&mut versions, Side::New, 90, 0);
-    assert!(versions.look(3 * SECOND).is_empty());
+    assert!(versions.judge(3 * SECOND).is_empty());
     answer(&mut versions, Side::Old, 900, 2);
     answer(&mut versions, Side::New, 80, 10);
-    assert!(versions.look(3 * SECOND + 1).is_empty(), "judged at most once per second");
-    assert_eq!(versions.look(4 * SECOND), ["arrears"]);
-    assert!(matches!(share(&versions, 5 * SECOND), (0, Some(Hold::Braked(_)))));
-    assert!(versions.look(6 * SECOND).is_empty(), "reported once");
-    versions.act(7 * SECOND, then(&record, Kind::Resume, 4));
+    assert!(versions.judge(3 * SECOND + 1).is_empty(), "judged at most once per second");
+    assert_eq!(versions.judge(4 * SECOND), ["arrears"]);
+    assert!(matches!(share(&versions, 5 * SECOND), (0, Some(ShareOverride::Braked(_)))));
+    assert!(versions.judge(6 * SECOND).is_empty(), "reported once");
+    versions.act(7 * SECOND, then(&record, OrderKind::Resume, 4));
     assert_eq!(share(&versions, 7 * SECOND), (1_000, None));
 }
 
@@ -116,21 +116,21 @@
 fn the_old_version_is_kept_loaded_for_a_limited_time_after_promotion() {
     let mut record = start();
     let mut versions = gateway_with(&record);
-    versions.loaded("arrears@8", true);
+    versions.load_ended("arrears@8", true);
     for id in [2, 3] {
-        record = then(&record, Kind::Widen, id);
+        record = then(&record, OrderKind::Widen, id);
         versions.act(0, record.clone());
     }
-    let old = [Expected { function: "arrears@7".into(), like: "arrears@8".into() }];
+    let old = [PrewarmTarget { function: "arrears@7".into(), like: "arrears@8".into() }];
     assert_eq!(
-        versions.expected(SECOND),
+        versions.prewarm_targets(SECOND),
         old,
         "the new version has all calls, and a rollback is still possible"
     );
-    versions.act(2 * SECOND, then(&record, Kind::Promote, 4));
-    assert_eq!(versions.expected(61 * SECOND), old);
-    assert!(versions.expected(62 * SECOND).is_empty());
-    versions.act(63 * SECOND, then(&then(&record, Kind::Promote, 4), Kind::RollBack, 5));
+    versions.act(2 * SECOND, then(&record, OrderKind::Promote, 4));
+    assert_eq!(versions.prewarm_targets(61 * SECOND), old);
+    assert!(versions.prewarm_targets(62 * SECOND).is_empty());
+    versions.act(63 * SECOND, then(&then(&record, OrderKind::Promote, 4), OrderKind::RollBack, 5));
     assert_eq!(versions.choose(63 * SECOND, "arrears", &account("a")).unwrap().side, Side::Old, "at once");
 }
 
@@ -138,10 +138,10 @@
 fn invalid_records_are_rejected_with_a_reason_and_change_nothing() {
     let mut versions = gateway_with(&start());
     let wrong = |edit: fn(&mut Record)| {
-        let mut record = then(&start(), Kind::Widen, 9);
+        let mut record = then(&start(), OrderKind::Widen, 9);
         edit(&mut record);
         match versions.weigh(&record) {
-            Weight::Wrong(why) => why,
+            RecordOrder::Wrong(why) => why,
             other => panic!("{other:?}"),
         }
     };
@@ -156,7 +156,7 @@
     assert!(wrong(|r| r.stage = Stage::Step(7)).contains("Step(7) of a plan with 3 steps"));
     assert!(wrong(|r| r.why = "x".repeat(500)).contains("why has more than"));
     let before = versions.status(SECOND, None);
-    versions.act(SECOND, Record { stage: Stage::Step(9), ..then(&start(), Kind::Widen, 9) });
+    versions.act(SECOND, Record { stage: Stage::Step(9), ..then(&start(), OrderKind::Widen, 9) });
     assert_eq!(versions.status(SECOND, None), before);
 }
 
@@ -168,31 +168,35 @@
         Record::start(plan, Some(before), 9, 0, "", "")
     };
     assert!(start_plan("8", "9", &first).unwrap_err().contains("under way, at epoch 1"));
-    let promoted = then(&first, Kind::Promote, 2);
+    let promoted = then(&first, OrderKind::Promote, 2);
     assert!(
         start_plan("7", "9", &promoted)
             .unwrap_err()
             .contains("runs version \"8\", and the plan's old is \"7\"")
     );
     assert_eq!(start_plan("8", "9", &promoted).unwrap().epoch, 3);
-    let back = then(&promoted, Kind::RollBack, 3);
+    let back = then(&promoted, OrderKind::RollBack, 3);
     assert_eq!(start_plan("7", "9", &back).unwrap().epoch, 4);
-    for kind in [Kind::Widen, Kind::Promote, Kind::Pause, Kind::Resume] {
-        assert!(back.then(kind, 4, 0, "", "").unwrap_err().contains("rolled back already, at epoch 3"));
+    for kind in [OrderKind::Widen, OrderKind::Promote, OrderKind::Pause, OrderKind::Resume] {
+        assert!(back.next(kind, 4, 0, "", "").unwrap_err().contains("rolled back already, at epoch 3"));
     }
 }
 
 /// Orders of two operators, some of them conflicting.
 fn orders() -> Vec<Record> {
     let first = start();
-    let widened = then(&first, Kind::Widen, 20);
+    let widened = then(&first, OrderKind::Widen, 20);
     let mut all = vec![first.clone(), widened.clone()];
-    for (kind, id) in
-        [(Kind::RollBack, 30), (Kind::Pause, 31), (Kind::Promote, 32), (Kind::Widen, 33), (Kind::Widen, 34)]
-    {
+    for (kind, id) in [
+        (OrderKind::RollBack, 30),
+        (OrderKind::Pause, 31),
+        (OrderKind::Promote, 32),
+        (OrderKind::Widen, 33),
+        (OrderKind::Widen, 34),
+    ] {
         all.push(then(&widened, kind, id));
     }
-    all.push(then(&first, Kind::RollBack, 21));
+    all.push(then(&first, OrderKind::RollBack, 21));
     all
 }
 
@@ -208,13 +212,13 @@
     ) {
         let ends: Vec<Record> = deliveries.iter().map(|delivery| {
             let mut versions = Versions::new("g", 1, 3);
-            let mut mark = Mark::default();
+            let mut mark = Precedence::default();
             for record in delivery.iter().chain(repeats.iter().map(|at| &delivery[*at])) {
                 let weight = versions.weigh(record);
-                assert_eq!(weight == Weight::Newer, record.mark() > mark);
-                assert_eq!(weight == Weight::Same, record.mark() == mark);
+                assert_eq!(weight == RecordOrder::Newer, record.precedence() > mark);
+                assert_eq!(weight == RecordOrder::Same, record.precedence() == mark);
                 versions.act(0, record.clone());
-                mark = mark.max(record.mark());
+                mark = mark.max(record.precedence());
             }
             versions.status(0, None).remove(0).record
         }).collect();
