--- a/crates/cli/examples/front_cost.rs
+++ b/crates/cli/examples/front_cost.rs
@@ -12,7 +12,7 @@
 
 use cresswheel_platform_wire::client::{FromGateway, decode_from_gateway, encode_request};
 use cresswheel_platform_wire::host::{decode_command, encode_answer};
-use cresswheel_protocol::{Decoder, Ending, Limits, Message, Role, Shape, encode};
+use cresswheel_protocol::{Decoder, Ending, FunctionProfile, Limits, Message, Role, encode};
 
 const CONNECTIONS: usize = 8;
 const CALLS: u64 = 5_000;
@@ -135,7 +135,7 @@
             key: String::new(),
             trace: String::new(),
             time_left: 5_000_000,
-            shape: Shape { memory_mb: 100, lanes: 64, load_time: 0, work: 0 },
+            shape: FunctionProfile { memory_mb: 100, lanes: 64, load_time: 0, work: 0 },
             body: vec![7; 200],
             account: None,
         };
--- a/crates/cli/examples/gateway_control.rs
+++ b/crates/cli/examples/gateway_control.rs
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 
 use cresswheel_measure::{Series, process_cpu_time, resident_bytes_of};
-use cresswheel_protocol::{Decoder, Limits, Listed, Message, Standing, encode};
+use cresswheel_protocol::{Decoder, Limits, ListedWorker, MemberState, Message, encode};
 
 const WORKERS: [usize; 4] = [100, 1_000, 2_000, 5_000];
 const RUNS: usize = 3;
@@ -26,8 +26,8 @@
 const IDLE: Duration = Duration::from_secs(1);
 const PATIENCE: Duration = Duration::from_secs(20);
 
-fn worker(number: usize, standing: Standing) -> Listed {
-    Listed {
+fn worker(number: usize, standing: MemberState) -> ListedWorker {
+    ListedWorker {
         id: format!("worker-{number:05}"),
         address: format!("10.120.{}.{}:7201", number / 250 % 250, number % 250),
         zone: format!("r1-z{}", number % 5),
@@ -110,13 +110,13 @@
         let (mut list, _) = service.accept().expect("the gateway");
         await_follow(&mut list);
         let mut bed = Self { folder, gateway, http, list, version: 0 };
-        let all = (0..workers).map(|number| worker(number, Standing::In)).collect();
+        let all = (0..workers).map(|number| worker(number, MemberState::Active)).collect();
         bed.tell(true, all);
         bed.until(&format!("cresswheel_workers_listed {workers}"));
         bed
     }
 
-    fn tell(&mut self, whole: bool, workers: Vec<Listed>) -> usize {
+    fn tell(&mut self, whole: bool, workers: Vec<ListedWorker>) -> usize {
         self.version += 1;
         let mut bytes = Vec::new();
         encode(&Message::List { whole, version: self.version, workers }, &mut bytes);
@@ -164,7 +164,7 @@
     fn change(&mut self, idle: f64) -> (f64, f64) {
         let (used, written, began) = (self.used(), self.written(), Instant::now());
         for number in 0..CHANGES {
-            let standing = if number % 2 == 0 { Standing::Draining } else { Standing::In };
+            let standing = if number % 2 == 0 { MemberState::Draining } else { MemberState::Active };
             self.tell(false, vec![worker(number / 2, standing)]);
             std::thread::sleep(CHANGE_EVERY);
         }
--- a/crates/cli/src/call.rs
+++ b/crates/cli/src/call.rs
@@ -5,7 +5,7 @@
 use std::process::ExitCode;
 
 use clap::Args;
-use cresswheel_protocol::{Message, Origin, Shape, Status};
+use cresswheel_protocol::{FunctionProfile, Message, Origin, Status};
 use cresswheel_rehearsal::Client;
 
 #[derive(Args)]
@@ -50,7 +50,7 @@
         text => text.as_bytes().to_vec(),
     };
     let mut client = Client::connect(args.gateway, "call")?;
-    let shape = Shape { memory_mb: args.memory_mb, lanes: args.lanes, load_time: 0, work: 0 };
+    let shape = FunctionProfile { memory_mb: args.memory_mb, lanes: args.lanes, load_time: 0, work: 0 };
     client.send(&Message::Call {
         number: 1,
         deferred: args.deferred,
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -14,7 +14,7 @@
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
-use cresswheel_gateway::{Gateway, HolderCommand};
+use cresswheel_gateway::{AcceptorCommand, Gateway};
 use cresswheel_platform::{Platform, PlatformSettings};
 use cresswheel_platform_wire::config::Config;
 
@@ -155,7 +155,7 @@
 }
 
 /// How a gateway starts a process that holds connections: itself, with the same logs.
-fn holder(cli: &Cli) -> HolderCommand {
+fn holder(cli: &Cli) -> AcceptorCommand {
     let mut args = vec!["--log".to_owned(), cli.log.clone()];
     args.extend(cli.json.then(|| "--json".to_owned()));
     if let Some(file) = &cli.log_file {
--- a/crates/cli/src/shifts.rs
+++ b/crates/cli/src/shifts.rs
@@ -8,7 +8,7 @@
 
 use anyhow::{Context, ensure};
 use clap::Args;
-use cresswheel_protocol::{Message, Shape};
+use cresswheel_protocol::{FunctionProfile, Message};
 use cresswheel_rehearsal::{Client, Process, read_records};
 use cresswheel_standins::RecordedEvent;
 use cresswheel_versions::{Guard, expected_calls_to_detection};
@@ -105,7 +105,7 @@
             key: String::new(),
             trace: String::new(),
             time_left: 0,
-            shape: Shape { memory_mb: 10, lanes: 10_000, load_time: 10_000, work: 100 },
+            shape: FunctionProfile { memory_mb: 10, lanes: 10_000, load_time: 10_000, work: 100 },
             body: Vec::new(),
             account: Some(format!("{at}-{number}")),
         })?;
--- a/crates/cli/tests/common/mod.rs
+++ b/crates/cli/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-use cresswheel_protocol::{Decoder, Ending, Limits, Message, Shape, encode};
+use cresswheel_protocol::{Decoder, Ending, FunctionProfile, Limits, Message, encode};
 use cresswheel_rehearsal::{Client, Process};
 
 pub const EXE: &str = env!("CARGO_BIN_EXE_cresswheel");
@@ -126,7 +126,7 @@
         key: String::new(),
         trace: format!("t{number}"),
         time_left: ms * 1_000,
-        shape: Shape { memory_mb: 100, lanes: 4, load_time: 0, work: 0 },
+        shape: FunctionProfile { memory_mb: 100, lanes: 4, load_time: 0, work: 0 },
         body: b"in".to_vec(),
         account: None,
     }
@@ -136,7 +136,9 @@
 pub fn answer(client: &mut Client) -> (u64, String, String) {
     loop {
         match client.receive_within(PATIENCE).unwrap() {
-            Message::Answer { number, status, reason, .. } => return (number, status.word().into(), reason),
+            Message::Answer { number, status, reason, .. } => {
+                return (number, status.as_str().into(), reason);
+            }
             Message::Accepted { .. } | Message::GoingAway { .. } => {}
             other => panic!("expected an answer, got {other:?}"),
         }
--- a/crates/cli/tests/connections.rs
+++ b/crates/cli/tests/connections.rs
@@ -184,7 +184,7 @@
             continue;
         }
         match client.receive_within(PATIENCE) {
-            Ok(Message::Answer { status, .. }) => assert_eq!(status.word(), "served"),
+            Ok(Message::Answer { status, .. }) => assert_eq!(status.as_str(), "served"),
             Ok(other) => panic!("{other:?}"),
             Err(_) => lost += 1,
         }
--- a/crates/cli/tests/failures.rs
+++ b/crates/cli/tests/failures.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use common::*;
-use cresswheel_protocol::{Ending, Listed, Message, Standing, encode};
+use cresswheel_protocol::{Ending, ListedWorker, MemberState, Message, encode};
 use cresswheel_rehearsal::Client;
 
 #[test]
@@ -144,13 +144,13 @@
     let mut service = Played::accept(&list);
     while service.next() != Some(Message::Follow {}) {}
     client.send(&call(2, "post", "f", 5_000)).unwrap();
-    let listed = Listed {
+    let listed = ListedWorker {
         id: "w".into(),
         address: good_worker().to_string(),
         zone: "a".into(),
         kind: String::new(),
         cell: 0,
-        standing: Standing::In,
+        standing: MemberState::Active,
         started: 0,
     };
     service.send(&Message::List { whole: true, version: 1, workers: vec![listed] });
@@ -162,13 +162,13 @@
     let folder = tempfile::tempdir().unwrap();
     let state = folder.path().join("state");
     std::fs::create_dir(&state).unwrap();
-    let listed = |id: &str, address: String| Listed {
+    let listed = |id: &str, address: String| ListedWorker {
         id: id.into(),
         address,
         zone: "a".into(),
         kind: String::new(),
         cell: 0,
-        standing: Standing::In,
+        standing: MemberState::Active,
         started: 0,
     };
     let workers = vec![listed("dead", nobody().to_string()), listed("live", good_worker().to_string())];
--- a/crates/cli/tests/gateway_crossings.rs
+++ b/crates/cli/tests/gateway_crossings.rs
@@ -14,14 +14,14 @@
 use std::time::Duration;
 
 use common::{Bed, EXE, PATIENCE, Played, call, good_worker, listener, nobody, settings};
-use cresswheel_protocol::{Ending, Listed, Message, Standing, encode};
+use cresswheel_protocol::{Ending, ListedWorker, MemberState, Message, encode};
 use gateway_peers::*;
 
 /// Long enough for what must not come to have come.
 const QUIET: Duration = Duration::from_millis(300);
 
-fn listed(id: &str, at: std::net::SocketAddr, standing: Standing) -> Listed {
-    Listed {
+fn listed(id: &str, at: std::net::SocketAddr, standing: MemberState) -> ListedWorker {
+    ListedWorker {
         id: id.into(),
         address: at.to_string(),
         zone: "a".into(),
@@ -49,7 +49,7 @@
     played
 }
 
-fn whole_list(version: u64, workers: Vec<Listed>) -> Message {
+fn whole_list(version: u64, workers: Vec<ListedWorker>) -> Message {
     Message::List { whole: true, version, workers }
 }
 
@@ -490,7 +490,7 @@
         std::thread::sleep(Duration::from_millis(900));
         worker.serves(second_line, second);
         assert!(
-            matches!(client.next(), Some(Message::Answer { number: 2, status, .. }) if status.word() == "served")
+            matches!(client.next(), Some(Message::Answer { number: 2, status, .. }) if status.as_str() == "served")
         );
     }
 }
@@ -727,7 +727,7 @@
 
 #[test]
 fn what_waits_for_the_connection_of_a_worker_that_drains_or_goes_is_not_sent_there() {
-    for after in [Standing::Draining, Standing::Out] {
+    for after in [MemberState::Draining, MemberState::Removed] {
         let (service, at) = listener();
         let list = format!("list = [\"{at}\"]");
         let slow = [("max_attempts = 4", "max_attempts = 4, connect_timeout = s(4)")];
@@ -735,7 +735,7 @@
         let mut service = followed(&service);
         let mut worker = Worker::narrow();
         worker.is_deaf = true;
-        service.send(&whole_list(1, vec![listed("w", worker.at, Standing::In)]));
+        service.send(&whole_list(1, vec![listed("w", worker.at, MemberState::Active)]));
         bed.logged("worker list");
         // The first takes the one place that the machine holds, the second has to wait for its connection.
         let mut clients: Vec<FrameClient> = (1..=2).map(|_| FrameClient::new(&bed)).collect();
@@ -743,7 +743,7 @@
             client.ask(number, "post", "f");
             logged_times(&bed, ": run worker=w ", number as usize);
         }
-        let other = listed("o", good_worker(), Standing::In);
+        let other = listed("o", good_worker(), MemberState::Active);
         service.send(&whole_list(2, vec![listed("w", worker.at, after), other]));
         logged_times(&bed, "worker list", 2);
         // It is served elsewhere, and nothing of it comes to the worker as the connection comes up.
@@ -761,13 +761,14 @@
     for is_turned in [false, true] {
         let (bed, _service, mut service) = gateway_on_list("");
         let (mut one, other) = (Worker::new(), good_worker());
-        service.send(&whole_list(1, vec![listed("w1", one.at, Standing::In)]));
+        service.send(&whole_list(1, vec![listed("w1", one.at, MemberState::Active)]));
         let mut client = FrameClient::new(&bed);
         client.ask(1, "check", "f");
         let (line, attempt, _) = one.next_run();
         one.serves(line, attempt);
         client.is_served(1);
-        let mut list = vec![listed("w2", one.at, Standing::In), listed("w3", other, Standing::Draining)];
+        let mut list =
+            vec![listed("w2", one.at, MemberState::Active), listed("w3", other, MemberState::Draining)];
         if is_turned {
             list.reverse();
         }
@@ -788,13 +789,13 @@
 fn a_worker_that_moves_to_another_address_gets_nothing_new_at_the_old_one() {
     let (bed, _service, mut service) = gateway_on_list("");
     let (mut old, mut new) = (Worker::new(), Worker::new());
-    service.send(&whole_list(1, vec![listed("w", old.at, Standing::In)]));
+    service.send(&whole_list(1, vec![listed("w", old.at, MemberState::Active)]));
     let mut client = FrameClient::new(&bed);
     client.ask(1, "check", "f");
     let (line, attempt, _) = old.next_run();
     old.serves(line, attempt);
     client.is_served(1);
-    service.send(&whole_list(2, vec![listed("w", new.at, Standing::In)]));
+    service.send(&whole_list(2, vec![listed("w", new.at, MemberState::Active)]));
     logged_times(&bed, "worker list", 2);
     client.ask(2, "check", "f");
     let (line, attempt, _) = new.next_run();
@@ -835,14 +836,14 @@
             drop((service, old));
             bed.logged("the list service can't be reached");
         } else {
-            service.send(&whole_list(1, vec![listed("w1", one, Standing::In)]));
+            service.send(&whole_list(1, vec![listed("w1", one, MemberState::Active)]));
             bed.logged("worker list");
         }
         settings(bed.folder.path(), &[one], &list(new_at), "list_retry = ms(50)");
         bed.gateway.signal("HUP").unwrap();
         bed.logged("new settings are in force");
         let mut service = followed(&new);
-        service.send(&whole_list(7, vec![listed("w2", two, Standing::In)]));
+        service.send(&whole_list(7, vec![listed("w2", two, MemberState::Active)]));
         bed.logged("version=7");
         let mut client = FrameClient::new(&bed);
         client.ask(1, "post", "f");
@@ -860,7 +861,7 @@
     bed.gateway.signal("HUP").unwrap();
     bed.logged("new settings are in force");
     let mut service = followed(&service);
-    service.send(&whole_list(3, vec![listed("w2", good_worker(), Standing::In)]));
+    service.send(&whole_list(3, vec![listed("w2", good_worker(), MemberState::Active)]));
     bed.logged("version=3");
 }
 
@@ -872,10 +873,10 @@
     let list = format!("list = [\"{first_at}\", \"{second_at}\"]");
     let bed = Bed::with(&[], &list, "list_retry = ms(50)");
     let mut service = followed(&first);
-    service.send(&whole_list(1, vec![listed("w1", one, Standing::In)]));
+    service.send(&whole_list(1, vec![listed("w1", one, MemberState::Active)]));
     bed.logged("worker list");
     let mut cut = Vec::new();
-    encode(&whole_list(2, vec![listed("w2", nobody(), Standing::In)]), &mut cut);
+    encode(&whole_list(2, vec![listed("w2", nobody(), MemberState::Active)]), &mut cut);
     service.send_bytes(&cut[..cut.len() - 3]);
     drop(service);
     let mut service = followed(&second);
@@ -883,7 +884,7 @@
     client.ask(1, "post", "f");
     client.is_served(1);
     assert_eq!(bed.log().matches("worker list").count(), 1);
-    service.send(&whole_list(3, vec![listed("w3", good_worker(), Standing::In)]));
+    service.send(&whole_list(3, vec![listed("w3", good_worker(), MemberState::Active)]));
     bed.logged("version=3");
     client.ask(2, "post", "f");
     client.is_served(2);
@@ -907,7 +908,7 @@
     bed.logged("all places are taken");
     let service = TcpListener::bind(list_at).unwrap();
     let mut service = followed(&service);
-    let workers = (0..10).map(|n| listed(&format!("w{n}"), good_worker(), Standing::In));
+    let workers = (0..10).map(|n| listed(&format!("w{n}"), good_worker(), MemberState::Active));
     service.send(&whole_list(1, workers.collect()));
     first.is_served(1);
     for number in 2..40 {
--- a/crates/cli/tests/gateway_peers/mod.rs
+++ b/crates/cli/tests/gateway_peers/mod.rs
@@ -164,7 +164,7 @@
         loop {
             match self.next().expect("an answer before the end") {
                 Message::Answer { number, status, reason, body, .. } => {
-                    return (number, status.word().into(), reason, body);
+                    return (number, status.as_str().into(), reason, body);
                 }
                 Message::GoingAway { .. } | Message::Probe { .. } => {}
                 other => panic!("{other:?} instead of an answer"),
--- a/crates/cli/tests/peers/mod.rs
+++ b/crates/cli/tests/peers/mod.rs
@@ -18,7 +18,7 @@
 };
 use cresswheel_platform_wire::directory::{HostList, encode_host_list, message_id};
 use cresswheel_platform_wire::host::{decode_command, encode_answer};
-use cresswheel_protocol::{Listed, Standing};
+use cresswheel_protocol::{ListedWorker, MemberState};
 
 /// Upper bound for every wait in these tests; exceeding it is a failure.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
@@ -231,13 +231,13 @@
     hosts: &[(String, SocketAddr, u16)],
     start_ms: u64,
 ) -> Vec<u8> {
-    let listed = hosts.iter().map(|(id, address, priority)| Listed {
+    let listed = hosts.iter().map(|(id, address, priority)| ListedWorker {
         id: id.clone(),
         address: address.to_string(),
         zone: "east".into(),
         kind: "std".into(),
         cell: 1,
-        standing: if *priority == 0 { Standing::In } else { Standing::Draining },
+        standing: if *priority == 0 { MemberState::Active } else { MemberState::Draining },
         started: start_ms * 1_000,
     });
     encode_host_list(id, &HostList { serial: u64::from(serial), hosts: listed.collect() }).unwrap()
--- a/crates/cli/tests/versions.rs
+++ b/crates/cli/tests/versions.rs
@@ -10,7 +10,7 @@
 use std::time::Instant;
 
 use common::*;
-use cresswheel_protocol::{Ending, Message, Origin, Shape};
+use cresswheel_protocol::{Ending, FunctionProfile, Message, Origin};
 use cresswheel_rehearsal::{Client, Process};
 use cresswheel_versions::{
     Compare, Guard, OrderKind, Plan, Record, Share, ShareOverride, Side, Status, Step, VersionReply,
@@ -184,7 +184,7 @@
         key: String::new(),
         trace: format!("t{number}"),
         time_left: 4_000 * MS,
-        shape: Shape { memory_mb: 10, lanes: 1_000, load_time: 20 * MS, work: 100 },
+        shape: FunctionProfile { memory_mb: 10, lanes: 1_000, load_time: 20 * MS, work: 100 },
         body: b"in".to_vec(),
         account: Some(account.into()),
     }
@@ -196,7 +196,7 @@
         match client.receive_within(PATIENCE).unwrap() {
             Message::Answer { number, status, reason, origin, .. } => {
                 let none = Origin { function: String::new(), digest: String::new() };
-                return (number, status.word().into(), reason, origin.unwrap_or(none));
+                return (number, status.as_str().into(), reason, origin.unwrap_or(none));
             }
             Message::Accepted { .. } => {}
             other => panic!("{other:?}"),
--- a/crates/clients/src/http.rs
+++ b/crates/clients/src/http.rs
@@ -1,7 +1,7 @@
 //! Converts HTTP requests to messages and answers to HTTP responses. `docs/PROTOCOL.md` has the table.
 
 use cresswheel_protocol::http::{Request, respond};
-use cresswheel_protocol::{Message, Micros, Origin, Shape, Status};
+use cresswheel_protocol::{FunctionProfile, Message, Micros, Origin, Status};
 
 /// A parsed HTTP request.
 #[derive(Debug, PartialEq, Eq)]
@@ -67,7 +67,7 @@
         .filter(|(name, _)| name == "prefer")
         .flat_map(|(_, value)| value.split([',', ';']))
         .any(|preference| preference.trim().eq_ignore_ascii_case("respond-async"));
-    let shape = Shape {
+    let shape = FunctionProfile {
         memory_mb: small_number("x-function-memory-mb")?,
         lanes: small_number("x-function-lanes")?,
         load_time: ms("x-function-load-ms")?,
@@ -129,7 +129,7 @@
     };
     // The header has whole seconds.
     let after = retry_after.div_ceil(1_000_000).to_string();
-    let mut headers = vec![("x-status", status.word()), ("x-reason", reason)];
+    let mut headers = vec![("x-status", status.as_str()), ("x-reason", reason)];
     if reason.is_empty() {
         headers.pop();
     }
--- a/crates/crowd/src/crowd.rs
+++ b/crates/crowd/src/crowd.rs
@@ -5,7 +5,7 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
 
-use cresswheel_protocol::{Message, Micros, Role, Shape, Status as Ending};
+use cresswheel_protocol::{FunctionProfile, Message, Micros, Role, Status as Ending};
 use cresswheel_standins::{RecordedEvent, Recorder};
 use cresswheel_transport::{Connection, Hub, HubLimits, Notice, Wire};
 use rand_pcg::Pcg32;
@@ -234,8 +234,8 @@
             Message::Answer { number, status, reason, .. } => {
                 let Some(open) = self.open.remove(&number) else { return };
                 self.status.answered += 1;
-                let status = status.word().to_owned();
-                debug_assert!(Ending::from_word(&status).is_some());
+                let status = status.as_str().to_owned();
+                debug_assert!(Ending::from_name(&status).is_some());
                 let now = self.hub.clock().now();
                 self.recorder.write(now, RecordedEvent::answered(open.trace, status, reason, None));
             }
@@ -321,7 +321,7 @@
             key: String::new(),
             trace: trace.clone(),
             time_left,
-            shape: Shape { memory_mb: 10, lanes: 100_000, load_time: 0, work: 0 },
+            shape: FunctionProfile { memory_mb: 10, lanes: 100_000, load_time: 0, work: 0 },
             body: vec![b'x'; 100],
             account: None,
         };
--- a/crates/engine/examples/cold_start.rs
+++ b/crates/engine/examples/cold_start.rs
@@ -33,7 +33,7 @@
     AdmissionLimits, AttemptEnd, Call, Client, Engine, EngineSettings, Input, OrderEnd, Output, ResultLimits,
 };
 use cresswheel_measure::thread_cpu_time;
-use cresswheel_protocol::{Ending, Listed, Message, Shape, Standing, encode};
+use cresswheel_protocol::{Ending, FunctionProfile, ListedWorker, MemberState, Message, encode};
 
 const MS: u64 = 1_000;
 const S: u64 = 1_000_000;
@@ -169,14 +169,14 @@
     }
 }
 
-fn worker(number: usize) -> Listed {
-    Listed {
+fn worker(number: usize) -> ListedWorker {
+    ListedWorker {
         id: format!("worker-{number:05}"),
         address: format!("10.120.{}.{}:7201", number / 250 % 250, number % 250),
         zone: format!("r1-z{}", number % ZONES),
         kind: "std-32".into(),
         cell: number as u64 / 40,
-        standing: Standing::In,
+        standing: MemberState::Active,
         started: 0,
     }
 }
@@ -364,7 +364,12 @@
             workers_deduplicate: false,
             trace: self.calls_sent.to_string(),
             timeout: 0,
-            shape: Shape { memory_mb: 500, lanes: 4, load_time: self.parameters.load, work: CALL_TIME },
+            shape: FunctionProfile {
+                memory_mb: 500,
+                lanes: 4,
+                load_time: self.parameters.load,
+                work: CALL_TIME,
+            },
             body: Vec::new(),
             account: None,
             route: None,
@@ -397,7 +402,7 @@
         self.zone_failed_at = Some(self.now);
         let failed = (0..self.parameters.workers).filter(|number| number % ZONES == 0);
         let workers: Vec<_> =
-            failed.map(|number| Listed { standing: Standing::Out, ..worker(number) }).collect();
+            failed.map(|number| ListedWorker { standing: MemberState::Removed, ..worker(number) }).collect();
         let is_gone = |id: &WorkerId| workers.iter().any(|worker| worker.id == *id.0);
         self.loaded_until.retain(|(id, _), _| !is_gone(id));
         self.handle(Input::List { whole: false, workers });
--- a/crates/engine/examples/engine_state.rs
+++ b/crates/engine/examples/engine_state.rs
@@ -16,7 +16,7 @@
     AdmissionLimits, AttemptEnd, Call, Client, Engine, EngineSettings, Input, Output, ResultLimits,
 };
 use cresswheel_measure::{Series, Spread, resident_bytes, run_child_for_value, thread_cpu_time};
-use cresswheel_protocol::{Ending, Listed, Shape, Standing};
+use cresswheel_protocol::{Ending, FunctionProfile, ListedWorker, MemberState};
 
 const MS: u64 = 1_000;
 const S: u64 = 1_000_000;
@@ -65,14 +65,14 @@
     }
 }
 
-fn worker(number: usize) -> Listed {
-    Listed {
+fn worker(number: usize) -> ListedWorker {
+    ListedWorker {
         id: format!("worker-{number:05}"),
         address: format!("10.120.{}.{}:7201", number / 250 % 250, number % 250),
         zone: format!("r1-z{}", number % 5),
         kind: "std-32".into(),
         cell: number as u64 / 40,
-        standing: Standing::In,
+        standing: MemberState::Active,
         started: 0,
     }
 }
@@ -114,7 +114,7 @@
             workers_deduplicate: false,
             trace: format!("{:032x}", self.calls_sent),
             timeout: 0,
-            shape: Shape { memory_mb: 500, lanes: 4, load_time: 400 * MS, work: 25 * MS },
+            shape: FunctionProfile { memory_mb: 500, lanes: 4, load_time: 400 * MS, work: 25 * MS },
             body: Vec::new(),
             account: None,
             route: None,
@@ -206,8 +206,8 @@
     let mut number = 0;
     let change = || {
         number += 1;
-        let standing = if number % 2 == 0 { Standing::In } else { Standing::Draining };
-        let workers = vec![Listed { standing, ..worker(number / 2 % workers) }];
+        let standing = if number % 2 == 0 { MemberState::Active } else { MemberState::Draining };
+        let workers = vec![ListedWorker { standing, ..worker(number / 2 % workers) }];
         harness.handle(Input::List { whole: false, workers });
     };
     time_per_run(change, CHANGES_PER_RUN)
--- a/crates/engine/src/departure.rs
+++ b/crates/engine/src/departure.rs
@@ -18,7 +18,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use cresswheel::{Micros, WorkerId};
-use cresswheel_protocol::Standing;
+use cresswheel_protocol::MemberState;
 
 /// If the last response took at most this long, and the next poll was sent at most this long after the
 /// answered one, the list was current until the list service stopped responding.
@@ -233,17 +233,17 @@
     }
 
     /// Records the standing of a worker on the list. Reports of a worker that restarted are dropped.
-    pub fn update_entry(&mut self, now: Micros, worker: &WorkerId, standing: Standing, restarted: bool) {
+    pub fn update_entry(&mut self, now: Micros, worker: &WorkerId, standing: MemberState, restarted: bool) {
         if restarted {
             self.leaving_reports.remove(worker);
             self.serving_reports.remove(worker);
         }
-        if standing == Standing::In {
+        if standing == MemberState::Active {
             self.leaving_since.remove(worker);
         } else {
             self.leaving_since.entry(worker.clone()).or_insert(now);
         }
-        if standing == Standing::Out {
+        if standing == MemberState::Removed {
             self.leaving_reports.remove(worker);
             self.serving_reports.remove(worker);
         }
@@ -258,8 +258,8 @@
     }
 
     /// Whether something may be sent to a worker with this standing on the list.
-    pub fn decide(&self, now: Micros, worker: &WorkerId, standing: Option<Standing>) -> SendDecision {
-        if standing != Some(Standing::In) || self.reports_leaving(worker) {
+    pub fn decide(&self, now: Micros, worker: &WorkerId, standing: Option<MemberState>) -> SendDecision {
+        if standing != Some(MemberState::Active) || self.reports_leaving(worker) {
             return SendDecision::Deny(DenyReason::WorkerLeaving);
         }
         let Some(terms) = self.terms else { return SendDecision::Allow };
--- a/crates/engine/src/departure/tests.rs
+++ b/crates/engine/src/departure/tests.rs
@@ -39,7 +39,7 @@
 }
 
 fn after(send_gate: &SendGate, span: Micros) -> SendDecision {
-    send_gate.decide(AS_OF + span, &worker(), Some(Standing::In))
+    send_gate.decide(AS_OF + span, &worker(), Some(MemberState::Active))
 }
 
 #[test]
@@ -106,7 +106,7 @@
     silent.worker_reported(worker(), true, AS_OF + 6 * S);
     assert_eq!(after(&silent, 8_400 * MS), SendDecision::Allow);
     assert_eq!(after(&silent, 8_500 * MS), SendDecision::Defer(MissingEvidence::WorkerReport));
-    let other = silent.decide(AS_OF + 8 * S, &"v".into(), Some(Standing::In));
+    let other = silent.decide(AS_OF + 8 * S, &"v".into(), Some(MemberState::Active));
     assert_eq!(other, SendDecision::Defer(MissingEvidence::WorkerReport), "it reported nothing");
     // A late response to an earlier probe does not replace a newer report.
     silent.worker_reported(worker(), true, AS_OF);
@@ -127,7 +127,7 @@
     assert_eq!(fresh.expire_leave_reports(), [worker()]);
     assert_eq!(after(&fresh, 3 * S), SendDecision::Allow);
     // Reports of a worker that restarted or left the list are dropped.
-    for (standing, restarted) in [(Standing::In, true), (Standing::Out, false)] {
+    for (standing, restarted) in [(MemberState::Active, true), (MemberState::Removed, false)] {
         fresh.worker_reported(worker(), false, AS_OF + 3 * S);
         assert!(fresh.reports_leaving(&worker()));
         fresh.update_entry(AS_OF + 3 * S, &worker(), standing, restarted);
@@ -137,22 +137,22 @@
 
 #[test]
 fn sends_to_a_worker_out_of_service_are_denied_and_violations_are_detected() {
-    for standing in [None, Some(Standing::Draining), Some(Standing::Out)] {
+    for standing in [None, Some(MemberState::Draining), Some(MemberState::Removed)] {
         let decision = send_gate(TERMS, age(MS, 0)).decide(AS_OF, &worker(), standing);
         assert_eq!(decision, SendDecision::Deny(DenyReason::WorkerLeaving), "{standing:?}");
     }
     let mut leaving = send_gate(TERMS, age(MS, 0));
-    leaving.update_entry(AS_OF, &worker(), Standing::Draining, false);
+    leaving.update_entry(AS_OF, &worker(), MemberState::Draining, false);
     assert!(!leaving.is_past_grace(AS_OF + S, &worker()));
     assert!(leaving.is_past_grace(AS_OF + S + 1, &worker()));
-    leaving.update_entry(AS_OF + 2 * S, &worker(), Standing::In, true);
+    leaving.update_entry(AS_OF + 2 * S, &worker(), MemberState::Active, true);
     assert!(!leaving.is_past_grace(AS_OF + 9 * S, &worker()), "it is in service again");
 }
 
 #[test]
 fn without_terms_a_list_of_any_age_is_valid() {
     let send_gate = SendGate::default();
-    assert_eq!(send_gate.decide(u64::MAX, &worker(), Some(Standing::In)), SendDecision::Allow);
+    assert_eq!(send_gate.decide(u64::MAX, &worker(), Some(MemberState::Active)), SendDecision::Allow);
 }
 
 #[test]
@@ -161,8 +161,8 @@
     for number in 0..1_000 {
         let worker = WorkerId::from(format!("w{number}").as_str());
         kept.worker_reported(worker.clone(), number % 2 == 0, AS_OF);
-        kept.update_entry(AS_OF, &worker, Standing::Draining, false);
-        kept.update_entry(AS_OF, &worker, Standing::Out, false);
+        kept.update_entry(AS_OF, &worker, MemberState::Draining, false);
+        kept.update_entry(AS_OF, &worker, MemberState::Removed, false);
     }
     kept.forget(AS_OF + LEAVING_RETENTION, |_| false);
     assert_eq!((kept.leaving_since.len(), kept.serving_reports.len(), kept.leaving_reports.len()), (0, 0, 0));
@@ -177,7 +177,7 @@
     let mut list = send_gate(TERMS, age(MS, 1));
     dispute(&mut list, AS_OF);
     assert_eq!(after(&list, 100 * MS), SendDecision::Defer(MissingEvidence::AgreeingResponses));
-    let other = list.decide(AS_OF + 100 * MS, &"v".into(), Some(Standing::In));
+    let other = list.decide(AS_OF + 100 * MS, &"v".into(), Some(MemberState::Active));
     assert_eq!(other, SendDecision::Allow, "responses agree about the other worker");
     list.worker_reported(worker(), true, AS_OF + MS);
     assert_eq!(
--- a/crates/engine/src/ending.rs
+++ b/crates/engine/src/ending.rs
@@ -61,7 +61,7 @@
             Self::TakenBack => "taken-back",
             Self::Broken => "broken",
             Self::CutOff => "cut-off",
-            Self::Answered(ending, _) => ending.word(),
+            Self::Answered(ending, _) => ending.as_str(),
             Self::Wrong(_) => "wrong-version",
             Self::Silent => "timeout",
             Self::CalledOff => "called-off",
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -7,7 +7,7 @@
     Action, Dispatcher, Effect, Event, FunctionId, Group, Micros, Request, RequestId, SettingsError,
     WorkerEntry, WorkerId, WorkerListUpdate, WorkerState,
 };
-use cresswheel_protocol::{Ending, Listed, Origin, Shape, Standing, Status};
+use cresswheel_protocol::{Ending, FunctionProfile, ListedWorker, MemberState, Origin, Status};
 use foldhash::{HashMap, HashMapExt};
 
 use crate::admission::Admission;
@@ -104,7 +104,7 @@
     open_calls: HashMap<RequestId, OpenCall>,
     attempts_in_flight: HashMap<u64, InFlightAttempt>,
     orders: HashMap<u64, PrewarmOrder>,
-    shapes: HashMap<FunctionId, Shape>,
+    shapes: HashMap<FunctionId, FunctionProfile>,
     results: Results,
     keys: IdempotencyKeys,
     admission: Admission,
@@ -117,7 +117,7 @@
     /// The last number given to a call, an attempt or an order.
     last_number: u64,
     draining: bool,
-    worker_list: BTreeMap<String, Listed>,
+    worker_list: BTreeMap<String, ListedWorker>,
     events: VecDeque<Event>,
     actions: Vec<Action>,
     counters: Counters,
@@ -228,7 +228,7 @@
     }
 
     /// The workers on the worker list, by id.
-    pub fn workers(&self) -> impl Iterator<Item = &Listed> {
+    pub fn workers(&self) -> impl Iterator<Item = &ListedWorker> {
         self.worker_list.values()
     }
 
@@ -648,7 +648,7 @@
         });
     }
 
-    fn update_list(&mut self, whole: bool, mut workers: Vec<Listed>) {
+    fn update_list(&mut self, whole: bool, mut workers: Vec<ListedWorker>) {
         let received = workers.len();
         workers.retain(|w| !w.id.is_empty());
         workers.truncate(MAX_WORKERS);
@@ -662,14 +662,14 @@
         }
         let entries = workers.iter().map(|worker| self.dispatcher_entry(worker)).collect();
         for worker in workers {
-            if worker.standing == Standing::Out {
+            if worker.standing == MemberState::Removed {
                 self.worker_list.remove(&worker.id);
             } else {
                 self.worker_list.insert(worker.id.clone(), worker);
             }
         }
         for id in previous.keys().filter(|id| !self.worker_list.contains_key(*id)) {
-            self.send_gate.update_entry(self.now, &WorkerId::from(id.as_str()), Standing::Out, false);
+            self.send_gate.update_entry(self.now, &WorkerId::from(id.as_str()), MemberState::Removed, false);
         }
         let worker_list = &self.worker_list;
         self.send_gate.forget(self.now, |worker| worker_list.contains_key(&*worker.0));
@@ -680,13 +680,13 @@
 
     /// A listed worker as an entry for the dispatcher. A worker that reports that it is leaving is passed as
     /// draining, whatever the list says; so is a disputed worker that can't be probed.
-    fn dispatcher_entry(&self, worker: &Listed) -> WorkerEntry {
+    fn dispatcher_entry(&self, worker: &ListedWorker) -> WorkerEntry {
         let id = WorkerId::from(worker.id.as_str());
         let state = match worker.standing {
-            Standing::In if self.send_gate.is_treated_as_draining(&id) => WorkerState::Draining,
-            Standing::In => WorkerState::InService,
-            Standing::Draining => WorkerState::Draining,
-            Standing::Out => WorkerState::OutOfService,
+            MemberState::Active if self.send_gate.is_treated_as_draining(&id) => WorkerState::Draining,
+            MemberState::Active => WorkerState::InService,
+            MemberState::Draining => WorkerState::Draining,
+            MemberState::Removed => WorkerState::OutOfService,
         };
         WorkerEntry {
             id,
@@ -700,7 +700,7 @@
 
     fn worker_reported(&mut self, worker: WorkerId, serves: bool, probed_at: Micros) {
         let is_in_service =
-            self.worker_list.get(&*worker.0).is_some_and(|listed| listed.standing == Standing::In);
+            self.worker_list.get(&*worker.0).is_some_and(|listed| listed.standing == MemberState::Active);
         if is_in_service {
             self.send_gate.worker_reported(worker.clone(), serves, probed_at);
             if !serves {
@@ -848,7 +848,7 @@
                     timeout_at,
                 };
                 self.orders.insert(self.last_number, order);
-                let unknown_shape = Shape { memory_mb: 0, lanes: 0, load_time: 0, work: 0 };
+                let unknown_shape = FunctionProfile { memory_mb: 0, lanes: 0, load_time: 0, work: 0 };
                 let shape = self.shapes.get(&function).cloned().unwrap_or(unknown_shape);
                 out.push(Output::Prewarm { worker, order: self.last_number, function, count, shape });
             }
--- a/crates/engine/src/interface.rs
+++ b/crates/engine/src/interface.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use cresswheel::{FunctionId, Micros, WorkerId};
-use cresswheel_protocol::{Listed, Message, Origin, Shape, Status};
+use cresswheel_protocol::{FunctionProfile, ListedWorker, Message, Origin, Status};
 
 use crate::{AdmissionLimits, AttemptEnd, ListAge, OrderEnd, ResultLimits};
 
@@ -56,7 +56,7 @@
     /// The client timeout; 0: the default of the class.
     pub timeout: Micros,
     /// Resource needs of the function, as far as known.
-    pub shape: Shape,
+    pub shape: FunctionProfile,
     /// The arguments of the call.
     pub body: Vec<u8>,
     /// The account that the call concerns, if the client names one.
@@ -130,7 +130,7 @@
         /// Whether this is the whole list: workers that are not listed are gone.
         whole: bool,
         /// The entries.
-        workers: Vec<Listed>,
+        workers: Vec<ListedWorker>,
     },
     /// The list service can't be reached; the last known list stays in use.
     ListUnavailable,
@@ -232,7 +232,7 @@
         /// The requested number of loaded instances.
         count: u32,
         /// Resource needs of the function, as far as known.
-        shape: Shape,
+        shape: FunctionProfile,
     },
     /// Have the worker unload idle instances of the function.
     Unload(WorkerId, FunctionId),
--- a/crates/engine/src/list_evidence.rs
+++ b/crates/engine/src/list_evidence.rs
@@ -21,7 +21,7 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use cresswheel::{Micros, WorkerId};
-use cresswheel_protocol::{Listed, Standing};
+use cresswheel_protocol::{ListedWorker, MemberState};
 
 /// This many consecutive equal responses end a discrepancy: one more than stale responses arrive in a row.
 pub const REQUIRED_CONFIRMATIONS: usize = 3;
@@ -37,18 +37,18 @@
     /// The number of the last event.
     pub number: u64,
     /// The workers sorted by id; a worker that is not listed is gone.
-    workers: Vec<Listed>,
+    workers: Vec<ListedWorker>,
 }
 
 impl ListVersion {
     /// A list with its event number; the workers may be in any order.
-    pub fn new(number: u64, mut workers: Vec<Listed>) -> Self {
+    pub fn new(number: u64, mut workers: Vec<ListedWorker>) -> Self {
         workers.sort_by(|one, other| one.id.cmp(&other.id));
         Self { number, workers }
     }
 
     /// The workers, sorted by id.
-    pub fn workers(&self) -> &[Listed] {
+    pub fn workers(&self) -> &[ListedWorker] {
         &self.workers
     }
 
@@ -57,7 +57,7 @@
         self.number > earlier.number || self == earlier
     }
 
-    fn contains(&self, worker: &Listed) -> bool {
+    fn contains(&self, worker: &ListedWorker) -> bool {
         let found = self.workers.binary_search_by(|entry| entry.id.cmp(&worker.id));
         found.is_ok_and(|at| self.workers[at] == *worker)
     }
@@ -245,7 +245,7 @@
     }
 
     fn mark_disputed(&mut self, response: &ListVersion) {
-        let in_service = self.accepted.workers.iter().filter(|worker| worker.standing == Standing::In);
+        let in_service = self.accepted.workers.iter().filter(|worker| worker.standing == MemberState::Active);
         let missing = in_service.filter(|worker| !response.contains(worker));
         let disputed = missing.map(|worker| WorkerId::from(worker.id.as_str()));
         self.discrepancy.iter_mut().for_each(|discrepancy| discrepancy.disputed.extend(disputed.clone()));
--- a/crates/engine/src/list_evidence/tests.rs
+++ b/crates/engine/src/list_evidence/tests.rs
@@ -11,15 +11,23 @@
 /// that.
 const POLLS_TO_OVERTURN: usize = (NOTIFIED_WITHIN / PERIOD) as usize + 1 + REQUIRED_CONFIRMATIONS;
 
-fn worker(id: u32, standing: Standing, started: Micros) -> Listed {
+fn worker(id: u32, standing: MemberState, started: Micros) -> ListedWorker {
     let (zone, kind) = ("east".to_owned(), "std".to_owned());
-    Listed { id: format!("w{id}"), address: format!("10.0.0.{id}:1"), zone, kind, cell: 1, standing, started }
+    ListedWorker {
+        id: format!("w{id}"),
+        address: format!("10.0.0.{id}:1"),
+        zone,
+        kind,
+        cell: 1,
+        standing,
+        started,
+    }
 }
 
 /// A list with these workers in service and those draining.
 fn list(number: u64, serving: &[u32], draining: &[u32]) -> ListVersion {
-    let serving = serving.iter().map(|id| worker(*id, Standing::In, 0));
-    let draining = draining.iter().map(|id| worker(*id, Standing::Draining, 0));
+    let serving = serving.iter().map(|id| worker(*id, MemberState::Active, 0));
+    let draining = draining.iter().map(|id| worker(*id, MemberState::Draining, 0));
     ListVersion::new(number, serving.chain(draining).collect())
 }
 
@@ -55,7 +63,7 @@
     /// Workers that may get new work.
     fn usable(&self) -> Vec<String> {
         let disputed = self.evidence.disputed();
-        let serving = self.evidence.accepted().workers().iter().filter(|w| w.standing == Standing::In);
+        let serving = self.evidence.accepted().workers().iter().filter(|w| w.standing == MemberState::Active);
         let usable = serving.filter(|w| !disputed.contains(&WorkerId::from(w.id.as_str())));
         usable.map(|w| w.id.clone()).collect()
     }
@@ -64,7 +72,8 @@
 #[test]
 fn the_accepted_list_is_as_old_as_the_first_of_three_responses_in_any_order_of_workers() {
     let mut service = PolledService::starting_with(&list(1, &[1, 2], &[]));
-    let same = ListVersion::new(1, vec![worker(2, Standing::In, 0), worker(1, Standing::In, 0)]);
+    let same =
+        ListVersion::new(1, vec![worker(2, MemberState::Active, 0), worker(1, MemberState::Active, 0)]);
     assert_eq!(service.respond_times(2, &same), ListEvaluation::default());
     assert_eq!(service.respond(&same), as_of(PERIOD));
     assert_eq!(service.respond(&same), as_of(2 * PERIOD));
@@ -136,7 +145,7 @@
 #[test]
 fn a_restarted_worker_is_a_different_one() {
     let mut service = PolledService::starting_with(&list(1, &[1, 2], &[]));
-    let restarted = vec![worker(1, Standing::In, 5), worker(2, Standing::In, 0)];
+    let restarted = vec![worker(1, MemberState::Active, 5), worker(2, MemberState::Active, 0)];
     service.respond(&ListVersion::new(2, restarted));
     assert_eq!(service.usable(), ["w2"], "w1 restarted by one response");
 }
@@ -184,7 +193,8 @@
 fn an_unconfirmed_configured_list_is_replaced_after_three_responses() {
     // The configuration may describe a host differently from the service.
     let mut service = PolledService::starting_with(&list(1, &[1, 2], &[]));
-    let current = ListVersion::new(1, vec![worker(1, Standing::In, 5), worker(2, Standing::In, 5)]);
+    let current =
+        ListVersion::new(1, vec![worker(1, MemberState::Active, 5), worker(2, MemberState::Active, 5)]);
     assert!(service.respond_times(REQUIRED_CONFIRMATIONS, &current).is_new);
     assert_eq!(service.usable(), ["w1", "w2"]);
 }
@@ -284,11 +294,11 @@
 }
 
 /// Moves a worker on: in service, draining, gone, then restarted as another process.
-fn change(workers: &mut Vec<Listed>, id: u32, now: Micros) {
+fn change(workers: &mut Vec<ListedWorker>, id: u32, now: Micros) {
     match workers.iter_mut().find(|w| w.id == format!("w{id}")) {
-        Some(w) if w.standing == Standing::In => w.standing = Standing::Draining,
+        Some(w) if w.standing == MemberState::Active => w.standing = MemberState::Draining,
         Some(_) => workers.retain(|w| w.id != format!("w{id}")),
-        None => workers.push(worker(id, Standing::In, now)),
+        None => workers.push(worker(id, MemberState::Active, now)),
     }
 }
 
@@ -303,7 +313,7 @@
         former in prop::collection::vec(1..6_u32, 1..8),
         steps in prop::collection::vec(step(), 1..60),
     ) {
-        let mut workers: Vec<Listed> = (1..6).map(|id| worker(id, Standing::In, 0)).collect();
+        let mut workers: Vec<ListedWorker> = (1..6).map(|id| worker(id, MemberState::Active, 0)).collect();
         let mut stale = vec![ListVersion::new(1, workers.clone())];
         for (number, id) in former.iter().enumerate() {
             change(&mut workers, *id, 1);
@@ -331,7 +341,7 @@
             as_of = weighed.as_of.map_or(as_of, |as_of| (as_of.polled_at / PERIOD) as usize);
             for id in service.usable() {
                 let served =
-                    |list: &ListVersion| list.workers().iter().any(|w| w.id == id && w.standing == Standing::In);
+                    |list: &ListVersion| list.workers().iter().any(|w| w.id == id && w.standing == MemberState::Active);
                 prop_assert!(
                     current_lists[as_of..].iter().any(served),
                     "{id} as of {as_of}, {:?}",
--- a/crates/engine/tests/calls.rs
+++ b/crates/engine/tests/calls.rs
@@ -2,7 +2,7 @@
 
 use cresswheel::{Class, Effect, Group, MissPolicy, Settings};
 use cresswheel_engine::*;
-use cresswheel_protocol::{Ending, Listed, Shape, Standing, Status};
+use cresswheel_protocol::{Ending, FunctionProfile, ListedWorker, MemberState, Status};
 
 const MS: u64 = 1_000;
 const S: u64 = 1_000_000;
@@ -46,7 +46,7 @@
         key: String::new(),
         trace: String::new(),
         timeout: 0,
-        shape: Shape { memory_mb: 100, lanes: 4, load_time: 0, work: 0 },
+        shape: FunctionProfile { memory_mb: 100, lanes: 4, load_time: 0, work: 0 },
         body: b"in".to_vec(),
         account: None,
         route: None,
@@ -68,13 +68,13 @@
     fn with_settings(settings: EngineSettings, workers: usize) -> Self {
         let mut harness =
             Self { engine: Engine::new(settings, 7).unwrap(), now: 1_700_000_000 * S, last_number: 0 };
-        let workers = (0..workers).map(|n| Listed {
+        let workers = (0..workers).map(|n| ListedWorker {
             id: format!("w{n}"),
             address: format!("127.0.0.1:{}", 9000 + n),
             zone: "a".into(),
             kind: "std".into(),
             cell: 0,
-            standing: Standing::In,
+            standing: MemberState::Active,
             started: 0,
         });
         let workers = workers.collect();
--- a/crates/engine/tests/sequences.rs
+++ b/crates/engine/tests/sequences.rs
@@ -5,7 +5,7 @@
 
 use cresswheel::{Class, ColdStart, Effect, Group, MissPolicy, Settings};
 use cresswheel_engine::*;
-use cresswheel_protocol::{Ending, Listed, Shape, Standing, Status};
+use cresswheel_protocol::{Ending, FunctionProfile, ListedWorker, MemberState, Status};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -208,7 +208,7 @@
                         key: if key < 3 { format!("k{key}") } else { String::new() },
                         trace: String::new(),
                         timeout: time,
-                        shape: Shape { memory_mb: 1, lanes: 2, load_time: 0, work: 0 },
+                        shape: FunctionProfile { memory_mb: 1, lanes: 2, load_time: 0, work: 0 },
                         body: vec![key % 4; 10],
                         account: None,
                         route: None,
@@ -263,13 +263,13 @@
                     }
                 }
                 Step::List { whole, workers } => {
-                    let entry = |(n, standing, cold): (u8, u8, bool)| Listed {
+                    let entry = |(n, standing, cold): (u8, u8, bool)| ListedWorker {
                         id: if n == 5 { String::new() } else { format!("w{n}") },
                         address: "127.0.0.1:1".into(),
                         zone: "a".into(),
                         kind: "std".into(),
                         cell: 0,
-                        standing: [Standing::In, Standing::Draining, Standing::Out][usize::from(standing)],
+                        standing: [MemberState::Active, MemberState::Draining, MemberState::Removed][usize::from(standing)],
                         started: if cold { now } else { 0 },
                     };
                     let workers = workers.into_iter().map(entry).collect();
@@ -285,5 +285,5 @@
 
 #[test]
 fn statuses_convert_to_and_from_words() {
-    assert!(Status::ALL.iter().all(|s| Status::from_word(s.word()) == Some(*s)));
+    assert!(Status::ALL.iter().all(|s| Status::from_name(s.as_str()) == Some(*s)));
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -12,12 +12,12 @@
 use cresswheel_carriers::{CarrierLimits, Payload};
 use cresswheel_clients::{ClientLimits, ClientRequest, Clients};
 use cresswheel_engine::{Answer, Attempt, AttemptEnd, Call, Client, Engine, Input, OrderEnd, Output};
-use cresswheel_protocol::{Listed, Message, Micros, Origin, Role, Status};
+use cresswheel_protocol::{ListedWorker, Message, Micros, Origin, Role, Status};
 use cresswheel_transport::{Connection, Hub, Notice, Wire, listener};
 use foldhash::HashMap;
 use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
 
-use crate::holders::{self, AcceptorEvent, Acceptors, ConnectionKey, HolderCommand};
+use crate::holders::{self, AcceptorCommand, AcceptorEvent, Acceptors, ConnectionKey};
 use crate::metrics::{self, GatewayCounts};
 use crate::saved_list::SavedList;
 use crate::settings::GatewaySettings;
@@ -126,14 +126,18 @@
 impl Gateway {
     /// Binds the listeners and reads the saved list; calls are accepted in [`Gateway::run`]. `acceptor`
     /// builds the command of an acceptor process, if the settings ask for any.
-    pub fn start(settings: GatewaySettings, reload: Reload, acceptor: HolderCommand) -> anyhow::Result<Self> {
-        let mut event_loop = Hub::new(settings.shell.clients.hub()).context("event loop")?;
+    pub fn start(
+        settings: GatewaySettings,
+        reload: Reload,
+        acceptor: AcceptorCommand,
+    ) -> anyhow::Result<Self> {
+        let mut event_loop = Hub::new(settings.limits.clients.hub()).context("event loop")?;
         event_loop.signals(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP]).context("signals")?;
         event_loop.leave_within(LONG_ITERATION);
         let budget = DescriptorBudget {
             limit: raise_descriptor_limit(),
             workers: settings.workers.len().max(MIN_EXPECTED_WORKERS),
-            per_worker: settings.shell.worker_connections,
+            per_worker: settings.limits.worker_connections,
         };
         let parts = divide_connections(&budget, &settings);
         let sockets = [Some(settings.listen), settings.http].into_iter().flatten();
@@ -142,7 +146,7 @@
         let mut at = sockets.iter().map(|s| s.local_addr().ok().and_then(|at| at.as_socket()));
         let ready = Ready { main: at.next().flatten().context("listen")?, http: at.next().flatten() };
         drop(at);
-        let terms = process_terms(&settings.shell.clients, parts);
+        let terms = process_terms(&settings.limits.clients, parts);
         let mut http_listener = None;
         if parts.acceptors == 0 {
             for (socket, wire) in sockets.iter().zip([Wire::Frames, Wire::Http]) {
@@ -155,17 +159,17 @@
         let module = &settings.engine.dispatcher;
         let classes = module.classes.iter().enumerate().map(|(at, c)| (c.name.clone(), at)).collect();
         let tenants = module.tenants.iter().enumerate().map(|(at, t)| (t.name.clone(), at)).collect();
-        let intake = CallQueue::new(&settings.class_terms(), settings.shell.intake);
+        let intake = CallQueue::new(&settings.class_terms(), settings.limits.intake);
         let now = event_loop.clock().now();
         // The process id distinguishes gateways that start in the same microsecond.
         let incarnation = now.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ u64::from(std::process::id());
         let engine = Engine::new(settings.engine.clone(), incarnation)?;
-        let saved_list = settings.state.as_deref().map(|folder| {
+        let saved_list = settings.state_folder.as_deref().map(|folder| {
             SavedList::new(folder).with_context(|| format!("state folder {}", folder.display()))
         });
         let saved_list = saved_list.transpose()?;
         let orders = settings.versions.as_ref().map(|versions| versions.key.clone());
-        let orders = orders.zip(settings.state.as_deref());
+        let orders = orders.zip(settings.state_folder.as_deref());
         let versions = VersionController::open(orders, &settings.name, incarnation, module.gateways, now)
             .map_err(anyhow::Error::msg)?;
         let mut gateway = Self {
@@ -184,8 +188,8 @@
             tenants,
             list_connection: None,
             list_index: 0,
-            list_retry_at: (!settings.list.is_empty()).then_some(now),
-            list_stale: !settings.list.is_empty(),
+            list_retry_at: (!settings.list_services.is_empty()).then_some(now),
+            list_stale: !settings.list_services.is_empty(),
             saved_list,
             versions,
             next_idle_check: now,
@@ -342,7 +346,7 @@
         }
         self.clients.drain(&mut self.event_loop);
         self.acceptors.drain(&mut self.event_loop);
-        self.phase = Phase::Draining(self.event_loop.clock().now() + self.settings.shell.stop_within);
+        self.phase = Phase::Draining(self.event_loop.clock().now() + self.settings.limits.drain_timeout);
     }
 
     /// Settings with an error are rejected as a whole, and so are settings that change what needs a restart.
@@ -360,26 +364,27 @@
                 if parts.acceptors != self.acceptors.count() {
                     // The number of processes is fixed until a restart; it limits the connections.
                     parts =
-                        self.budget.split(new.shell.clients.door.connections, Some(self.acceptors.count()));
+                        self.budget.split(new.limits.clients.door.connections, Some(self.acceptors.count()));
                     tracing::warn!(
                         holders = parts.acceptors,
                         short = parts.reduced_to,
                         "the number of acceptor processes stays as it is until a restart"
                     );
                 }
-                let terms = process_terms(&new.shell.clients, parts);
+                let terms = process_terms(&new.limits.clients, parts);
                 self.clients.change(&mut self.event_loop, terms);
                 self.acceptors.set_terms(&mut self.event_loop, terms);
-                self.intake.change(&new.class_terms(), new.shell.intake);
-                if self.settings.list != new.list {
+                self.intake.change(&new.class_terms(), new.limits.intake);
+                if self.settings.list_services != new.list_services {
                     self.list_connection
                         .take()
                         .into_iter()
                         .for_each(|list| self.event_loop.close(list, "the list service changed"));
                     // Connects to the new one at once.
                     self.list_index = 0;
-                    self.list_retry_at = (!new.list.is_empty()).then(|| self.event_loop.clock().now());
-                    self.list_stale = !new.list.is_empty();
+                    self.list_retry_at =
+                        (!new.list_services.is_empty()).then(|| self.event_loop.clock().now());
+                    self.list_stale = !new.list_services.is_empty();
                 }
                 self.workers.set_limits(worker_limits(&new), hello(&new));
                 self.settings = new;
@@ -583,14 +588,14 @@
             self.list_connection = None;
             self.list_stale = true;
             self.list_index += 1;
-            self.list_retry_at = Some(self.event_loop.clock().now() + self.settings.shell.list_retry);
+            self.list_retry_at = Some(self.event_loop.clock().now() + self.settings.limits.list_retry_delay);
             return self.handle_input(Input::ListUnavailable);
         }
         let ended = self.workers.on_closed(connection, never_stood, unsent, why);
         ended.into_iter().for_each(|input| self.handle_input(input));
     }
 
-    fn apply_list(&mut self, whole: bool, workers: Vec<Listed>) {
+    fn apply_list(&mut self, whole: bool, workers: Vec<ListedWorker>) {
         let ended = self.workers.apply_list(&mut self.event_loop, whole, &workers);
         self.handle_input(Input::List { whole, workers });
         ended.into_iter().for_each(|input| self.handle_input(input));
@@ -707,7 +712,11 @@
         self.update_expected();
         if self.list_retry_at.is_some_and(|at| at <= now) {
             self.list_retry_at = None;
-            let at = self.settings.list.get(self.list_index % self.settings.list.len().max(1)).copied();
+            let at = self
+                .settings
+                .list_services
+                .get(self.list_index % self.settings.list_services.len().max(1))
+                .copied();
             if let (Some(at), Phase::Running) = (at, self.phase) {
                 let list = self.event_loop.connect(
                     at,
@@ -721,18 +730,18 @@
         }
         if self.next_idle_check <= now {
             self.workers.close_idle(&mut self.event_loop);
-            self.next_idle_check = now + self.settings.shell.worker_idle.max(1_000) / 4;
+            self.next_idle_check = now + self.settings.limits.worker_idle.max(1_000) / 4;
         }
     }
 }
 
 fn worker_limits(settings: &GatewaySettings) -> CarrierLimits {
-    let shell = &settings.shell;
+    let shell = &settings.limits;
     CarrierLimits {
         wire: Wire::Frames,
         connections: shell.worker_connections,
-        streams: shell.worker_streams,
-        spread: shell.worker_streams,
+        streams: shell.max_in_flight_per_connection,
+        spread: shell.max_in_flight_per_connection,
         connect_timeout: settings.engine.dispatcher.connect_timeout,
         idle: shell.worker_idle,
     }
@@ -758,8 +767,8 @@
 
 /// Divides the client connections among the processes; logs a warning if there are too few file descriptors.
 fn divide_connections(budget: &DescriptorBudget, settings: &GatewaySettings) -> ConnectionSplit {
-    let asked = settings.shell.clients.door.connections;
-    let parts = budget.split(asked, settings.holders);
+    let asked = settings.limits.clients.door.connections;
+    let parts = budget.split(asked, settings.acceptors);
     let (limit, holders, each) = (budget.limit, parts.acceptors, parts.each);
     if let Some(room) = parts.reduced_to {
         tracing::warn!(
--- a/crates/gateway/src/holders.rs
+++ b/crates/gateway/src/holders.rs
@@ -17,7 +17,7 @@
 use cresswheel_transport::{Connection, Hub, Notice, Wire};
 
 /// Builds the command that runs an acceptor process; its standard input is set afterwards.
-pub type HolderCommand = Box<dyn Fn() -> io::Result<Command>>;
+pub type AcceptorCommand = Box<dyn Fn() -> io::Result<Command>>;
 
 /// An acceptor that ran for this long is restarted without a delay.
 const STABLE_AFTER: Micros = 10_000_000;
@@ -75,7 +75,7 @@
 
 /// The acceptor processes of this gateway.
 pub struct Acceptors {
-    command: HolderCommand,
+    command: AcceptorCommand,
     listeners: Vec<socket2::Socket>,
     /// The second listener speaks HTTP.
     http: bool,
@@ -106,7 +106,7 @@
 impl Acceptors {
     /// Starts no process yet; [`Acceptors::tick`] does.
     pub fn new(
-        command: HolderCommand,
+        command: AcceptorCommand,
         listeners: Vec<socket2::Socket>,
         terms: ClientLimits,
         count: usize,
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -11,5 +11,5 @@
 mod workers;
 
 pub use gateway::{Gateway, Ready, Reload};
-pub use holders::HolderCommand;
-pub use settings::{GatewaySettings, ShellLimits, VersionSettings};
+pub use holders::AcceptorCommand;
+pub use settings::{GatewayLimits, GatewaySettings, VersionSettings};
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -47,7 +47,7 @@
     let answers = counts.answers.iter().map(|((class, status, reason), n)| {
         let labels = [
             ("class", counts.classes[*class].clone()),
-            ("status", status.word().into()),
+            ("status", status.as_str().into()),
             ("reason", (*reason).into()),
         ];
         (labels.to_vec(), *n)
--- a/crates/gateway/src/saved_list.rs
+++ b/crates/gateway/src/saved_list.rs
@@ -7,7 +7,7 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-use cresswheel_protocol::{Decoder, Limits, Listed, Message, encode};
+use cresswheel_protocol::{Decoder, Limits, ListedWorker, Message, encode};
 
 /// The file with the last worker list.
 pub struct SavedList {
@@ -23,7 +23,7 @@
         Ok(Self { path: folder.join("workers.list") })
     }
 
-    pub fn write<'a>(&self, workers: impl Iterator<Item = &'a Listed>) -> io::Result<()> {
+    pub fn write<'a>(&self, workers: impl Iterator<Item = &'a ListedWorker>) -> io::Result<()> {
         let message = Message::List { whole: true, version: 0, workers: workers.cloned().collect() };
         let mut bytes = Vec::new();
         encode(&message, &mut bytes);
@@ -35,7 +35,7 @@
     }
 
     /// The list, if there is one; an error names the file and what is wrong with it.
-    pub fn read(&self) -> Result<Option<Vec<Listed>>, String> {
+    pub fn read(&self) -> Result<Option<Vec<ListedWorker>>, String> {
         let with_path = |what: String| format!("{}: {what}", self.path.display());
         let bytes = match std::fs::metadata(&self.path) {
             Ok(metadata) if metadata.len() > MAX_BYTES as u64 => return Err(with_path("too long".into())),
--- a/crates/gateway/src/saved_list/tests.rs
+++ b/crates/gateway/src/saved_list/tests.rs
@@ -1,18 +1,18 @@
 use super::*;
-use cresswheel_protocol::Standing;
+use cresswheel_protocol::MemberState;
 
 #[test]
 fn a_list_is_read_back_and_a_damaged_file_gives_an_error_with_its_path() {
     let folder = tempfile::tempdir().unwrap();
     let saved = SavedList::new(&folder.path().join("state")).unwrap();
     assert_eq!(saved.read(), Ok(None));
-    let worker = Listed {
+    let worker = ListedWorker {
         id: "w".into(),
         address: "127.0.0.1:1".into(),
         zone: "a".into(),
         kind: String::new(),
         cell: 3,
-        standing: Standing::Draining,
+        standing: MemberState::Draining,
         started: 5,
     };
     saved.write([&worker].into_iter()).unwrap();
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -6,7 +6,7 @@
 use cresswheel_admission::{CallQueueLimits, ClassPriority};
 use cresswheel_clients::ClientLimits;
 use cresswheel_engine::EngineSettings;
-use cresswheel_protocol::{Listed, Micros};
+use cresswheel_protocol::{ListedWorker, Micros};
 
 /// Everything a gateway process needs.
 #[derive(Clone, Debug)]
@@ -20,19 +20,19 @@
     /// The listen address for clients that use HTTP/1.1.
     pub http: Option<SocketAddr>,
     /// The addresses of the list services; tried in turn.
-    pub list: Vec<SocketAddr>,
+    pub list_services: Vec<SocketAddr>,
     /// Workers that no list service lists.
-    pub workers: Vec<Listed>,
+    pub workers: Vec<ListedWorker>,
     /// The folder for the last worker list and the version orders; without one the list is not saved and
     /// orders are rejected.
-    pub state: Option<PathBuf>,
+    pub state_folder: Option<PathBuf>,
     /// The number of acceptor processes; if not given, as many as the limit on file descriptors requires,
     /// often 0.
-    pub holders: Option<usize>,
+    pub acceptors: Option<usize>,
     /// Access to version orders; without it they are rejected.
     pub versions: Option<VersionSettings>,
     /// Limits and timeouts of the process's I/O.
-    pub shell: ShellLimits,
+    pub limits: GatewayLimits,
 }
 
 /// Access to version orders.
@@ -50,7 +50,7 @@
 
 /// Limits and timeouts of the process's I/O.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ShellLimits {
+pub struct GatewayLimits {
     /// Limits of clients and sockets; that of connections is for all processes together.
     pub clients: ClientLimits,
     /// Limits of calls that wait to be started.
@@ -58,26 +58,26 @@
     /// Maximum number of connections to one worker.
     pub worker_connections: usize,
     /// Maximum number of attempts and orders in flight on one such connection.
-    pub worker_streams: usize,
+    pub max_in_flight_per_connection: usize,
     /// A worker connection with nothing in flight is closed after this.
     pub worker_idle: Micros,
     /// After SIGTERM calls may finish for this long.
-    pub stop_within: Micros,
+    pub drain_timeout: Micros,
     /// Delay before the next attempt to connect to a list service.
-    pub list_retry: Micros,
+    pub list_retry_delay: Micros,
 }
 
-impl Default for ShellLimits {
+impl Default for GatewayLimits {
     fn default() -> Self {
         const S: Micros = 1_000_000;
         Self {
             clients: ClientLimits::default(),
             intake: CallQueueLimits::default(),
             worker_connections: 4,
-            worker_streams: 100,
+            max_in_flight_per_connection: 100,
             worker_idle: 15 * S,
-            stop_within: 5 * S,
-            list_retry: S / 2,
+            drain_timeout: 5 * S,
+            list_retry_delay: S / 2,
         }
     }
 }
@@ -97,8 +97,8 @@
             ("name", self.name == other.name),
             ("listen", self.listen == other.listen),
             ("http", self.http == other.http),
-            ("state", self.state == other.state),
-            ("holders", self.holders == other.holders),
+            ("state", self.state_folder == other.state_folder),
+            ("holders", self.acceptors == other.acceptors),
             ("versions(...)", self.versions == other.versions),
             ("worker(...)", self.workers == other.workers),
             ("the decision module's part", self.engine.dispatcher == other.engine.dispatcher),
--- a/crates/gateway/src/workers.rs
+++ b/crates/gateway/src/workers.rs
@@ -9,7 +9,7 @@
 use cresswheel::WorkerId;
 use cresswheel_carriers::{CarrierLimits, ConnectionPool, Payload};
 use cresswheel_engine::{AttemptEnd, Input, OrderEnd};
-use cresswheel_protocol::{Listed, Message, Micros, Standing, encode};
+use cresswheel_protocol::{ListedWorker, MemberState, Message, Micros, encode};
 use cresswheel_transport::{Connection, Hub};
 use foldhash::{HashMap, HashMapExt, HashSet};
 
@@ -53,7 +53,7 @@
 
     /// Applies a whole list or its changes. Returns the unsent attempts and orders of workers that drain or
     /// were removed, which are canceled.
-    pub fn apply_list(&mut self, event_loop: &mut Hub, whole: bool, listed: &[Listed]) -> Vec<Input> {
+    pub fn apply_list(&mut self, event_loop: &mut Hub, whole: bool, listed: &[ListedWorker]) -> Vec<Input> {
         let mut ended = Vec::new();
         if whole {
             let listed_ids: HashSet<&str> = listed.iter().map(|worker| worker.id.as_str()).collect();
@@ -68,12 +68,12 @@
                 ended.extend(self.remove(event_loop, &id));
                 continue;
             };
-            if worker.standing == Standing::Out {
+            if worker.standing == MemberState::Removed {
                 ended.extend(self.remove(event_loop, &id));
                 continue;
             }
             let previous = self.addresses.insert(id.clone(), address);
-            if worker.standing == Standing::Draining {
+            if worker.standing == MemberState::Draining {
                 ended.extend(self.pool.withdraw_all(event_loop, &id));
             }
             if previous.is_some_and(|previous| previous != address) {
--- a/crates/platform-wire/examples/directory_bytes.rs
+++ b/crates/platform-wire/examples/directory_bytes.rs
@@ -10,7 +10,7 @@
 
 use cresswheel_measure::{Series, thread_cpu_time};
 use cresswheel_platform_wire::directory::{self, HostList};
-use cresswheel_protocol::{Listed, Standing};
+use cresswheel_protocol::{ListedWorker, MemberState};
 
 /// A datagram has 65,507 bytes at most, which bounds the number of hosts.
 const HOSTS: [usize; 5] = [1, 25, 50, 100, 200];
@@ -20,13 +20,13 @@
 const MAX_SIZES: [usize; 2] = [8_000, 65_507];
 
 fn answer(hosts: usize) -> Vec<u8> {
-    let listed = |number: usize| Listed {
+    let listed = |number: usize| ListedWorker {
         id: format!("worker-{number:05}"),
         address: format!("10.120.{}.{}:7201", number / 250 % 250, number % 250),
         zone: format!("r1-z{}", number % 5),
         kind: "std-32".into(),
         cell: number as u64 / 40,
-        standing: Standing::In,
+        standing: MemberState::Active,
         started: 1_790_000_000_000_000,
     };
     let listing = HostList { serial: 7, hosts: (0..hosts).map(listed).collect() };
--- a/crates/platform-wire/src/client.rs
+++ b/crates/platform-wire/src/client.rs
@@ -3,7 +3,7 @@
 //! There are two kinds of errors. A malformed frame ([`FrameError`]) ends the connection, because nothing
 //! after it can be trusted. An invalid request ([`RequestError`]) fails only that request.
 
-use cresswheel_protocol::Shape;
+use cresswheel_protocol::FunctionProfile;
 
 use crate::held::{DecodeBuffer, InputBuffer};
 
@@ -59,7 +59,7 @@
     /// Whether this is a client's retry.
     pub retry: bool,
     /// Resource needs of the function, as the client states them.
-    pub shape: Shape,
+    pub shape: FunctionProfile,
     /// The body.
     pub body: Vec<u8>,
 }
@@ -238,9 +238,9 @@
 }
 
 /// Parses `memory_mb:512;lanes:2;load_ms:640`; each name may occur once, and unknown names are ignored.
-fn parse_shape(text: &str) -> Result<Shape, RequestError> {
+fn parse_shape(text: &str) -> Result<FunctionProfile, RequestError> {
     let bad = RequestError::InvalidField("spec");
-    let mut shape = Shape { memory_mb: 0, lanes: 0, load_time: 0, work: 0 };
+    let mut shape = FunctionProfile { memory_mb: 0, lanes: 0, load_time: 0, work: 0 };
     let mut seen: Vec<&str> = Vec::new();
     for part in text.split(';').filter(|part| !part.is_empty()) {
         let (name, value) = part.split_once(':').ok_or(bad)?;
--- a/crates/platform-wire/src/directory.rs
+++ b/crates/platform-wire/src/directory.rs
@@ -3,7 +3,7 @@
 use std::collections::{HashMap, HashSet};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-use cresswheel_protocol::{Listed, Standing};
+use cresswheel_protocol::{ListedWorker, MemberState};
 use hickory_proto::op::{Message, MessageType, OpCode, Query, ResponseCode};
 use hickory_proto::rr::rdata::{A, SOA, SRV, TXT};
 use hickory_proto::rr::{Name, RData, Record, RecordType};
@@ -20,7 +20,7 @@
     /// Number of the last event.
     pub serial: u64,
     /// The hosts; one that is absent has left.
-    pub hosts: Vec<Listed>,
+    pub hosts: Vec<ListedWorker>,
 }
 
 /// An answer without a usable list: the previous list stays in force.
@@ -65,12 +65,12 @@
     let mut message = Message::new(id, MessageType::Response, OpCode::Query);
     message.metadata.response_code = ResponseCode::NoError;
     message.add_query(Query::query(service.clone(), RecordType::SRV));
-    for host in listing.hosts.iter().filter(|host| host.standing != Standing::Out) {
+    for host in listing.hosts.iter().filter(|host| host.standing != MemberState::Removed) {
         let target = name(&format!("{}.{}.hosts.", host.id, host.zone))?;
         let address: SocketAddrV4 =
             host.address.parse().map_err(|_| DirectoryError::InvalidRecord("A or SRV address"))?;
         let srv =
-            SRV::new(u16::from(host.standing == Standing::Draining), 40, address.port(), target.clone());
+            SRV::new(u16::from(host.standing == MemberState::Draining), 40, address.port(), target.clone());
         message.add_answer(Record::from_rdata(service.clone(), 1, RData::SRV(srv)));
         message.add_additional(Record::from_rdata(target.clone(), 1, RData::A(A(*address.ip()))));
         let kind = format!("kind={}", host.kind);
@@ -131,7 +131,7 @@
         let mut labels = srv.target.iter().map(|label| String::from_utf8_lossy(label).into_owned());
         let id =
             labels.next().filter(|id| !id.is_empty()).ok_or(DirectoryError::InvalidRecord("SRV target"))?;
-        hosts.push(Listed {
+        hosts.push(ListedWorker {
             id,
             address: format!("{address}:{}", srv.port),
             zone: labels.next().unwrap_or_default(),
@@ -140,8 +140,8 @@
                 .and_then(|v| v.parse().ok())
                 .ok_or(DirectoryError::InvalidRecord("TXT cell"))?,
             standing: match srv.priority {
-                0 => Standing::In,
-                1 => Standing::Draining,
+                0 => MemberState::Active,
+                1 => MemberState::Draining,
                 _ => return Err(DirectoryError::InvalidRecord("SRV priority")),
             },
             started: micros(value("started").and_then(|v| v.parse().ok()).unwrap_or(0)),
@@ -171,7 +171,7 @@
 impl Known {
     /// The list as of the last event.
     pub fn listing(&self) -> HostList {
-        let mut hosts: Vec<Listed> = Vec::new();
+        let mut hosts: Vec<ListedWorker> = Vec::new();
         for event in &self.entries {
             if event.hosts.complete {
                 hosts.clear();
@@ -179,7 +179,7 @@
             let named: HashSet<&str> = event.hosts.members.iter().map(|member| member.id.as_str()).collect();
             hosts.retain(|host| !named.contains(host.id.as_str()));
             let listed = event.hosts.members.iter().map(Member::listed);
-            hosts.extend(listed.filter(|host| host.standing != Standing::Out));
+            hosts.extend(listed.filter(|host| host.standing != MemberState::Removed));
         }
         HostList { serial: self.pos, hosts }
     }
@@ -223,17 +223,17 @@
 
 impl Member {
     /// Converts it to an entry of the worker list.
-    pub fn listed(&self) -> Listed {
-        Listed {
+    pub fn listed(&self) -> ListedWorker {
+        ListedWorker {
             id: self.id.clone(),
             address: self.host_port.clone(),
             zone: self.locality.clone(),
             kind: self.flavor.clone(),
             cell: self.cell,
             standing: match self.phase.as_str() {
-                "Ready" => Standing::In,
-                "Terminating" => Standing::Draining,
-                _ => Standing::Out,
+                "Ready" => MemberState::Active,
+                "Terminating" => MemberState::Draining,
+                _ => MemberState::Removed,
             },
             started: micros(self.up_since_ms),
         }
--- a/crates/platform-wire/tests/wire.rs
+++ b/crates/platform-wire/tests/wire.rs
@@ -7,7 +7,7 @@
 use cresswheel_platform_wire::config::Config;
 use cresswheel_platform_wire::directory::{self, DirectoryError};
 use cresswheel_platform_wire::host::{self, AnswerError, AnswerStatus, HostDecoder, Invoke};
-use cresswheel_protocol::Standing;
+use cresswheel_protocol::MemberState;
 use hickory_proto::op::{Message, MessageType, OpCode, Query, ResponseCode};
 use hickory_proto::rr::rdata::{A, SOA, SRV, TXT};
 use hickory_proto::rr::{Name, RData, Record, RecordType};
@@ -245,8 +245,11 @@
     assert_eq!(listing_read.serial, 41);
     let [one, two] = &listing_read.hosts[..] else { panic!("{listing_read:?}") };
     assert_eq!((one.id.as_str(), one.zone.as_str(), one.address.as_str()), ("s-1", "east", "127.0.9.1:5050"));
-    assert_eq!((one.standing, one.started, one.cell, one.kind.as_str()), (Standing::In, 7_000, 1, "std"));
-    assert_eq!(two.standing, Standing::Draining);
+    assert_eq!(
+        (one.standing, one.started, one.cell, one.kind.as_str()),
+        (MemberState::Active, 7_000, 1, "std")
+    );
+    assert_eq!(two.standing, MemberState::Draining);
     for end in 0..bytes.len() {
         assert!(directory::decode_answer(&bytes[..end]).is_err(), "truncated at {end}");
     }
@@ -282,7 +285,7 @@
     assert_eq!(module.kind_memory_mb["std"], 100.5);
     assert_eq!(config.seed(), 0x8c1f_30d2_7a5b_e964);
     let host = config.known.entries[0].hosts.members[0].listed();
-    assert_eq!((host.started, host.standing), (5_000, Standing::In));
+    assert_eq!((host.started, host.standing), (5_000, MemberState::Active));
     assert!(Config::read("{}").is_err());
     assert!(Config::read(&text.replace("\"name\":\"call\",", "")).unwrap().module().is_err());
 }
@@ -304,12 +307,12 @@
     let changes =
         event(false, &[member("s-1", "Gone"), member("s-2", "Terminating"), member("s-4", "Ready")]);
     let named = |id: &str, standing| (id.to_owned(), standing);
-    let (stays, drains) = (named("s-3", Standing::In), named("s-2", Standing::Draining));
-    assert_eq!(listed(&[whole.clone(), changes.clone()]), [stays, drains, named("s-4", Standing::In)]);
+    let (stays, drains) = (named("s-3", MemberState::Active), named("s-2", MemberState::Draining));
+    assert_eq!(listed(&[whole.clone(), changes.clone()]), [stays, drains, named("s-4", MemberState::Active)]);
     let anew = event(true, &[member("s-5", "Ready"), member("s-6", "Gone")]);
     assert_eq!(
         listed(&[whole, changes, anew]),
-        [named("s-5", Standing::In)],
+        [named("s-5", MemberState::Active)],
         "hosts absent from a complete list have left"
     );
     assert!(listed(&[]).is_empty());
--- a/crates/platform/src/hosts.rs
+++ b/crates/platform/src/hosts.rs
@@ -10,7 +10,7 @@
 use cresswheel_carriers::{CarrierLimits, ConnectionPool, Payload};
 use cresswheel_engine::{Attempt, AttemptEnd, Input, OrderEnd};
 use cresswheel_platform_wire::host::{self, AnswerStatus, HostAnswer, HostDecoder, Invoke};
-use cresswheel_protocol::{Ending, Listed, Standing};
+use cresswheel_protocol::{Ending, ListedWorker, MemberState};
 use cresswheel_transport::{Connection, ENDED, Hub, Sent};
 use foldhash::{HashMap, HashMapExt};
 
@@ -135,7 +135,7 @@
 
     /// Applies a complete host list. Returns the ends of unsent attempts and orders to hosts that drain or
     /// were removed.
-    pub fn apply_list(&mut self, hub: &mut Hub, listed: &[Listed]) -> Vec<Input> {
+    pub fn apply_list(&mut self, hub: &mut Hub, listed: &[ListedWorker]) -> Vec<Input> {
         let mut ended = Vec::new();
         let is_listed = |id: &WorkerId| listed.iter().any(|host| *host.id == *id.0);
         let removed: Vec<_> = self.endpoints.keys().filter(|id| !is_listed(id)).cloned().collect();
@@ -148,13 +148,13 @@
             }) else {
                 continue;
             };
-            if host.standing == Standing::Out {
+            if host.standing == MemberState::Removed {
                 ended.extend(self.remove_host(hub, &id));
                 continue;
             }
             let endpoint = Endpoint { address, started: host.started };
             let before = self.endpoints.insert(id.clone(), endpoint);
-            if host.standing == Standing::Draining {
+            if host.standing == MemberState::Draining {
                 ended.extend(self.withdraw_all(hub, &id));
             }
             if before.is_some_and(|before| before.address != address) {
--- a/crates/platform/src/hosts/tests.rs
+++ b/crates/platform/src/hosts/tests.rs
@@ -2,15 +2,15 @@
 use std::sync::Arc;
 
 use cresswheel_engine::Call;
-use cresswheel_protocol::Shape;
+use cresswheel_protocol::FunctionProfile;
 use cresswheel_transport::{HubLimits, Notice, Wire};
 
 use super::*;
 
 const SECOND: Micros = 1_000_000;
 
-fn host(listener: &TcpListener, standing: Standing) -> Listed {
-    Listed {
+fn host(listener: &TcpListener, standing: MemberState) -> ListedWorker {
+    ListedWorker {
         id: "h".into(),
         address: listener.local_addr().unwrap().to_string(),
         zone: String::new(),
@@ -30,7 +30,7 @@
         key: String::new(),
         trace: format!("{number:016x}"),
         timeout: SECOND,
-        shape: Shape { memory_mb: 0, lanes: 0, load_time: 0, work: 0 },
+        shape: FunctionProfile { memory_mb: 0, lanes: 0, load_time: 0, work: 0 },
         body,
         account: None,
         route: None,
@@ -58,10 +58,10 @@
 #[test]
 fn cancellation_when_a_host_drains_or_leaves_clears_all_state() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    for after in [Standing::Draining, Standing::Out] {
+    for after in [MemberState::Draining, MemberState::Removed] {
         let mut hub = Hub::new(HubLimits::default()).unwrap();
         let mut hosts = hosts(2);
-        hosts.apply_list(&mut hub, &[host(&listener, Standing::In)]);
+        hosts.apply_list(&mut hub, &[host(&listener, MemberState::Active)]);
         // The hub hasn't polled yet: the connection isn't established and no byte was sent.
         assert!(hosts.run(&mut hub, &attempt(1, Vec::new())).is_none());
         let ended = hosts.apply_list(&mut hub, &[host(&listener, after)]);
@@ -84,7 +84,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut hub = Hub::new(HubLimits::default()).unwrap();
     let mut hosts = hosts(1);
-    hosts.apply_list(&mut hub, &[host(&listener, Standing::In)]);
+    hosts.apply_list(&mut hub, &[host(&listener, MemberState::Active)]);
     for (number, length) in [(1, 0), (2, LARGE), (3, 0)] {
         assert!(hosts.run(&mut hub, &attempt(number, vec![7; length])).is_none());
     }
@@ -120,7 +120,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut hub = Hub::new(HubLimits::default()).unwrap();
     let mut hosts = hosts(2);
-    hosts.apply_list(&mut hub, &[host(&listener, Standing::In)]);
+    hosts.apply_list(&mut hub, &[host(&listener, MemberState::Active)]);
     let order = Order { worker: "h".into(), number: 1, function: "7f3a9c21e0b4d655".into(), count: 1 };
     assert!(hosts.prewarm(&mut hub, &order).is_none());
     let (own, tag) = hosts.in_flight[&1].clone();
--- a/crates/platform/src/shell.rs
+++ b/crates/platform/src/shell.rs
@@ -11,7 +11,7 @@
 use cresswheel_engine::{Answer, Attempt, AttemptEnd, Call, Client, Engine, Input, Output};
 use cresswheel_platform_wire::client::{Code, Request};
 use cresswheel_platform_wire::config::Config;
-use cresswheel_protocol::{Standing, Status};
+use cresswheel_protocol::{MemberState, Status};
 use cresswheel_transport::{Connection, Hub, Notice, Wire, listener};
 
 use crate::PlatformSettings;
@@ -257,7 +257,8 @@
 
     /// Whether a request could be served.
     fn is_ready(&self) -> bool {
-        self.phase == Phase::Running && self.engine.workers().any(|worker| worker.standing == Standing::In)
+        self.phase == Phase::Running
+            && self.engine.workers().any(|worker| worker.standing == MemberState::Active)
     }
 
     fn handle_notice(&mut self, notice: Notice) {
--- a/crates/platform/src/waiting/tests.rs
+++ b/crates/platform/src/waiting/tests.rs
@@ -1,7 +1,7 @@
 //! Which requests stay deferred when clients cancel or leave.
 
 use cresswheel_platform_wire::client::Request;
-use cresswheel_protocol::Shape;
+use cresswheel_protocol::FunctionProfile;
 
 use super::*;
 
@@ -14,7 +14,7 @@
         function: String::new(),
         wait_ms: 1,
         retry: false,
-        shape: Shape { memory_mb: 0, lanes: 0, load_time: 0, work: 0 },
+        shape: FunctionProfile { memory_mb: 0, lanes: 0, load_time: 0, work: 0 },
         body: vec![0; bytes],
     };
     ClientEvent::Request(connection, stream, 0, request)
--- a/crates/protocol/examples/message_bytes.rs
+++ b/crates/protocol/examples/message_bytes.rs
@@ -10,7 +10,8 @@
 
 use cresswheel_measure::{Series, thread_cpu_time};
 use cresswheel_protocol::{
-    Decoder, Ending, Limits, Listed, Message, Origin, Role, Shape, Standing, Status, encode,
+    Decoder, Ending, FunctionProfile, Limits, ListedWorker, MemberState, Message, Origin, Role, Status,
+    encode,
 };
 
 /// Lengths of a list, around the expected ones (1,000, 2,000, 5,000 workers).
@@ -20,14 +21,14 @@
 const ENTRIES_PER_TIMING: usize = 40_000;
 
 /// A worker with a name of typical length. Half of all names in use are no longer than this.
-fn worker(number: usize) -> Listed {
-    Listed {
+fn worker(number: usize) -> ListedWorker {
+    ListedWorker {
         id: format!("worker-{number:05}"),
         address: format!("10.120.{}.{}:7201", number / 250 % 250, number % 250),
         zone: format!("r1-z{}", number % 5),
         kind: "std-32".into(),
         cell: number as u64 / 40,
-        standing: Standing::In,
+        standing: MemberState::Active,
         started: 1_790_000_000_000_000,
     }
 }
@@ -43,7 +44,7 @@
 }
 
 fn print_messages() {
-    let shape = Shape { memory_mb: 500, lanes: 4, load_time: 400_000, work: 25_000 };
+    let shape = FunctionProfile { memory_mb: 500, lanes: 4, load_time: 400_000, work: 25_000 };
     let origin = Some(Origin { function: "function-01234".into(), digest: format!("sha256:{:064x}", 7) });
     let (function, class) = ("function-01234".to_owned(), "check".to_owned());
     let trace = format!("{:032x}", 9);
--- a/crates/protocol/src/frame.rs
+++ b/crates/protocol/src/frame.rs
@@ -45,13 +45,13 @@
     }
 
     /// Number of buffered bytes that are not decoded yet.
-    pub fn held(&self) -> usize {
+    pub fn buffered_len(&self) -> usize {
         self.buffer.len() - self.used
     }
 
     /// Whether the decoder is in its initial state.
     pub fn is_idle(&self) -> bool {
-        self.held() == 0 && self.failed.is_none()
+        self.buffered_len() == 0 && self.failed.is_none()
     }
 
     /// The next complete message; `None`: more bytes are needed.
--- a/crates/protocol/src/http.rs
+++ b/crates/protocol/src/http.rs
@@ -111,18 +111,18 @@
     }
 
     /// Buffered bytes of an incomplete request.
-    pub fn held(&self) -> usize {
+    pub fn buffered_len(&self) -> usize {
         self.buffer.len() + self.request.body.len()
     }
 
     /// Whether a request has been received in part.
-    pub fn midway(&self) -> bool {
+    pub fn has_partial_request(&self) -> bool {
         self.state != State::Head || !self.buffer.is_empty()
     }
 
     /// Whether the decoder is in its initial state.
     pub fn is_idle(&self) -> bool {
-        !self.midway() && self.failed.is_none()
+        !self.has_partial_request() && self.failed.is_none()
     }
 
     /// The next step; after an error it returns that error on every call.
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -17,7 +17,7 @@
 pub use frame::{Decoder, encode};
 pub use limits::{HEADER, Limits, MAX_NAME, VERSION};
 pub use message::Message;
-pub use values::{Ending, Listed, Origin, Role, Shape, Standing, Status};
+pub use values::{Ending, FunctionProfile, ListedWorker, MemberState, Origin, Role, Status};
 
 /// A duration or a point in time, in microseconds.
 pub type Micros = u64;
--- a/crates/protocol/src/macros.rs
+++ b/crates/protocol/src/macros.rs
@@ -9,17 +9,17 @@
             /// All values, in the order of their codes.
             pub const ALL: &'static [Self] = &[$(Self::$variant),*];
             /// The name of the value in logs, headers and records.
-            pub fn word(self) -> &'static str {
+            pub fn as_str(self) -> &'static str {
                 match self { $(Self::$variant => $word),* }
             }
             /// The value with this name.
-            pub fn from_word(word: &str) -> Option<Self> {
+            pub fn from_name(word: &str) -> Option<Self> {
                 match word { $($word => Some(Self::$variant),)* _ => None }
             }
         }
         impl std::fmt::Display for $name {
             fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-                f.write_str(self.word())
+                f.write_str(self.as_str())
             }
         }
         impl crate::field::Field for $name {
--- a/crates/protocol/src/message.rs
+++ b/crates/protocol/src/message.rs
@@ -3,7 +3,7 @@
 use crate::Micros;
 use crate::error::FrameError;
 use crate::field::{Field, Reader};
-use crate::values::{Ending, Listed, Origin, Role, Shape, Status};
+use crate::values::{Ending, FunctionProfile, ListedWorker, Origin, Role, Status};
 
 macro_rules! wire_messages {
     ($($(#[$doc:meta])* $code:literal $name:ident { $($(#[$fdoc:meta])* $field:ident: $type:ty,)* })*) => {
@@ -91,7 +91,7 @@
         /// The client's timeout; 0: that of the class.
         time_left: Micros,
         /// Known properties of the function.
-        shape: Shape,
+        shape: FunctionProfile,
         /// The arguments.
         body: Vec<u8>,
         /// The account of the call; plans with session affinity by account use it.
@@ -151,7 +151,7 @@
         /// Time until the client's deadline.
         time_left: Micros,
         /// Known properties of the function.
-        shape: Shape,
+        shape: FunctionProfile,
         /// The arguments.
         body: Vec<u8>,
     }
@@ -182,7 +182,7 @@
         /// Number of instances, 16 at most.
         count: u32,
         /// Known properties of the function.
-        shape: Shape,
+        shape: FunctionProfile,
     }
     /// Worker to gateway: how an order ended.
     24 Held {
@@ -207,12 +207,12 @@
         /// Increases with each change.
         version: u64,
         /// The workers.
-        workers: Vec<Listed>,
+        workers: Vec<ListedWorker>,
     }
     /// Worker to list service: add or update this worker.
     32 Register {
         /// The entry.
-        workers: Vec<Listed>,
+        workers: Vec<ListedWorker>,
     }
     /// To a simulated peer: inject this fault. Gateways reject it.
     40 Control {
--- a/crates/protocol/src/values.rs
+++ b/crates/protocol/src/values.rs
@@ -52,19 +52,19 @@
 );
 wire_enum!(
     /// Whether calls may be dispatched to a listed worker.
-    Standing {
+    MemberState {
         /// Active.
-        In = 0 => "in",
+        Active = 0 => "in",
         /// Finishing its calls; accepts no new ones.
         Draining = 1 => "draining",
         /// Removed from service.
-        Out = 2 => "out",
+        Removed = 2 => "out",
     }
 );
 
 wire_struct!(
     /// An entry of the worker list.
-    Listed {
+    ListedWorker {
         /// Its name, kept when its process restarts.
         id: String,
         /// Where it listens, `host:port`.
@@ -76,14 +76,14 @@
         /// Its cell: the workers of a cell share the record of idempotency keys that they have seen.
         cell: u64,
         /// Whether calls may be dispatched to it.
-        standing: Standing,
+        standing: MemberState,
         /// When its process last started, in microseconds since 1970; 0: long ago.
         started: Micros,
     }
 );
 wire_struct!(
     /// Properties of a function, sent with its calls; 0: unknown.
-    Shape {
+    FunctionProfile {
         /// Memory of one instance, in MB.
         memory_mb: u32,
         /// Concurrency of one instance.
@@ -105,7 +105,7 @@
     }
 );
 
-impl Field for Vec<Listed> {
+impl Field for Vec<ListedWorker> {
     fn encode(&self, out: &mut Vec<u8>) {
         encode_list(self, out);
     }
--- a/crates/protocol/tests/frames.rs
+++ b/crates/protocol/tests/frames.rs
@@ -4,8 +4,8 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-fn shape() -> impl Strategy<Value = Shape> {
-    any::<(u32, u32, u64, u64)>().prop_map(|(memory_mb, lanes, load_time, work)| Shape {
+fn shape() -> impl Strategy<Value = FunctionProfile> {
+    any::<(u32, u32, u64, u64)>().prop_map(|(memory_mb, lanes, load_time, work)| FunctionProfile {
         memory_mb,
         lanes,
         load_time,
@@ -21,10 +21,10 @@
     prop::collection::vec(any::<u8>(), 0..300)
 }
 
-fn listed() -> impl Strategy<Value = Listed> {
-    let standing = prop::sample::select(Standing::ALL);
+fn listed() -> impl Strategy<Value = ListedWorker> {
+    let standing = prop::sample::select(MemberState::ALL);
     (name(), name(), name(), name(), any::<u64>(), standing, any::<u64>()).prop_map(
-        |(id, address, zone, kind, cell, standing, started)| Listed {
+        |(id, address, zone, kind, cell, standing, started)| ListedWorker {
             id,
             address,
             zone,
@@ -112,7 +112,7 @@
             }
         }
         prop_assert_eq!(read, messages);
-        prop_assert_eq!(decoder.held(), 0);
+        prop_assert_eq!(decoder.buffered_len(), 0);
     }
 
     #[test]
@@ -121,7 +121,7 @@
         decoder.push(&bytes);
         while let Ok(Some(_)) = decoder.decode() {}
         let last = decoder.decode();
-        prop_assert!(last.is_err() || decoder.held() <= bytes.len());
+        prop_assert!(last.is_err() || decoder.buffered_len() <= bytes.len());
         prop_assert_eq!(decoder.decode(), last, "an error stays");
     }
 
--- a/crates/rehearsal/src/load/clients.rs
+++ b/crates/rehearsal/src/load/clients.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use cresswheel_protocol::{Ending, Message, Micros, Role, Shape, Status};
+use cresswheel_protocol::{Ending, FunctionProfile, Message, Micros, Role, Status};
 use cresswheel_transport::{Connection, Hub, HubLimits, Notice, Wire};
 use hdrhistogram::Histogram;
 use rand_pcg::Pcg32;
@@ -239,6 +239,6 @@
     format!("f{}", number % FUNCTIONS)
 }
 
-fn shape() -> Shape {
-    Shape { memory_mb: 10, lanes: 100_000, load_time: 0, work: 0 }
+fn shape() -> FunctionProfile {
+    FunctionProfile { memory_mb: 10, lanes: 100_000, load_time: 0, work: 0 }
 }
--- a/crates/rehearsal/src/split.rs
+++ b/crates/rehearsal/src/split.rs
@@ -10,7 +10,9 @@
 use cresswheel_engine::{
     AdmissionLimits, AttemptEnd, Call, Client, Engine, EngineSettings, Input, Output, ResultLimits,
 };
-use cresswheel_protocol::{Decoder, Ending, Limits, Listed, Message, Shape, Standing, Status, encode};
+use cresswheel_protocol::{
+    Decoder, Ending, FunctionProfile, Limits, ListedWorker, MemberState, Message, Status, encode,
+};
 
 /// Microseconds of a call.
 pub struct Parts {
@@ -124,13 +126,13 @@
     };
     let Ok(mut engine) = Engine::new(settings, 1) else { return f64::NAN };
     let mut outputs = Vec::new();
-    let entry = |n: usize| Listed {
+    let entry = |n: usize| ListedWorker {
         id: format!("w{n}"),
         address: "127.0.0.1:1".into(),
         zone: String::new(),
         kind: String::new(),
         cell: 0,
-        standing: Standing::In,
+        standing: MemberState::Active,
         started: 0,
     };
     engine.handle(0, Input::List { whole: true, workers: (0..WORKERS).map(entry).collect() }, &mut outputs);
@@ -148,7 +150,7 @@
             key: String::new(),
             trace: String::new(),
             timeout: 10_000_000,
-            shape: Shape { memory_mb: 10, lanes: 100_000, load_time: 0, work: 0 },
+            shape: FunctionProfile { memory_mb: 10, lanes: 100_000, load_time: 0, work: 0 },
             body: answer.clone(),
             account: None,
             route: None,
@@ -176,7 +178,7 @@
 
 /// What the gateway reads and writes of a call: the call and the worker's answer in, the attempt and the answer out.
 fn codec(body: usize) -> f64 {
-    let shape = Shape { memory_mb: 10, lanes: 100_000, load_time: 0, work: 0 };
+    let shape = FunctionProfile { memory_mb: 10, lanes: 100_000, load_time: 0, work: 0 };
     let (function, class, trace, key) = ("f1".to_owned(), "check".to_owned(), String::new(), String::new());
     let body = vec![b'x'; body];
     let call = Message::Call {
--- a/crates/rehearsal/src/traffic.rs
+++ b/crates/rehearsal/src/traffic.rs
@@ -7,7 +7,7 @@
 use std::path::Path;
 use std::sync::mpsc::Receiver;
 
-use cresswheel_protocol::{Message, Micros, Role, Shape, Status};
+use cresswheel_protocol::{FunctionProfile, Message, Micros, Role, Status};
 use cresswheel_standins::{RecordedEvent, Recorder, uniform};
 use cresswheel_transport::{Connection, Hub, HubLimits, Notice, Wire};
 use rand_pcg::Pcg32;
@@ -410,7 +410,7 @@
             key: String::new(),
             trace: trace.clone(),
             time_left: time,
-            shape: Shape {
+            shape: FunctionProfile {
                 memory_mb: spec.memory_mb,
                 lanes: spec.lanes,
                 load_time: spec.load_ms * MS,
@@ -448,7 +448,7 @@
                 let Some(open) = self.open.remove(&number) else {
                     // An answer to nothing: the auditor is to see it.
                     let trace = format!("number {number}");
-                    let status = status.word().to_owned();
+                    let status = status.as_str().to_owned();
                     return self.recorder.write(now, RecordedEvent::answered(trace, status, reason, origin));
                 };
                 if status == Status::Pending && now < open.deadline + GRACE / 2 {
@@ -458,7 +458,7 @@
                     self.hub.send(connection, &Message::Await { number, id, wait: 20 * MS }, None);
                     return;
                 }
-                let word = status.word().to_owned();
+                let word = status.as_str().to_owned();
                 self.recorder.write(now, RecordedEvent::answered(open.trace.clone(), word, reason, origin));
                 match status {
                     Status::Refused => self.repeat(open, true),
--- a/crates/scale/src/hollow.rs
+++ b/crates/scale/src/hollow.rs
@@ -84,7 +84,7 @@
 
     /// Uses the connection to a worker; whether it had to be opened.
     pub fn connect(&mut self, now: Micros, worker: usize) -> bool {
-        let idle = self.settings.shell.worker_idle;
+        let idle = self.settings.limits.worker_idle;
         let last = self.connections.insert(worker, now);
         let opens = last.is_none_or(|last| last + idle < now);
         self.opened += u64::from(opens);
@@ -93,7 +93,7 @@
 
     /// Connections that stand.
     pub fn connections(&self, now: Micros) -> usize {
-        let idle = self.settings.shell.worker_idle;
+        let idle = self.settings.limits.worker_idle;
         self.connections.values().filter(|last| **last + idle >= now).count()
     }
 
--- a/crates/scale/src/real.rs
+++ b/crates/scale/src/real.rs
@@ -13,7 +13,7 @@
 
 use anyhow::Context;
 use cresswheel_gateway::GatewaySettings;
-use cresswheel_protocol::{Listed, Message, Status};
+use cresswheel_protocol::{ListedWorker, Message, Status};
 use cresswheel_rehearsal::{Client, Process};
 use cresswheel_settings::ScaleScenario;
 use serde::{Deserialize, Serialize};
@@ -168,7 +168,7 @@
         let network = Network::new(scenario);
         let worker = |number| {
             let listed = entry(number, network.zone_name(network.zone(number)));
-            Listed { address: workers.main.to_string(), ..listed }
+            ListedWorker { address: workers.main.to_string(), ..listed }
         };
         let all = (0..scenario.workers).map(worker).collect();
         registrar.send(&Message::Register { workers: all })?;
--- a/crates/scale/src/run/changes.rs
+++ b/crates/scale/src/run/changes.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use cresswheel_engine::Input;
-use cresswheel_protocol::{Listed, Message, Micros, Standing};
+use cresswheel_protocol::{ListedWorker, MemberState, Message, Micros};
 
 use super::event::{Event, GatewayInput, ListUpdate, SettingsUpdate};
 use super::fleet::Fleet;
@@ -41,7 +41,7 @@
         self.queue.push(now + interval(self.scenario.list_changes_per_hour), Event::ListChange);
         let worker = self.restart_steps / RESTART_STEPS % self.workers.len();
         match self.restart_steps % RESTART_STEPS {
-            0 => self.workers[worker].entry.standing = Standing::Draining,
+            0 => self.workers[worker].entry.standing = MemberState::Draining,
             1 => self.stop_worker(worker),
             _ => self.workers[worker].start(now),
         }
@@ -50,10 +50,10 @@
         self.send_entry(version, self.workers[worker].entry.clone());
     }
 
-    fn send_entry(&mut self, version: u64, entry: Listed) {
+    fn send_entry(&mut self, version: u64, entry: ListedWorker) {
         let now = self.queue.now();
         let message = Message::List { whole: false, version, workers: vec![entry.clone()] };
-        let entries: Rc<[Listed]> = [entry].into();
+        let entries: Rc<[ListedWorker]> = [entry].into();
         for gateway in 0..self.gateways.len() {
             let bytes = self.sources.of(gateway).sent.count(&message);
             let zone = self.gateways[gateway].zone;
--- a/crates/scale/src/run/event.rs
+++ b/crates/scale/src/run/event.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use cresswheel_engine::Input;
-use cresswheel_protocol::{Listed, Micros, Shape};
+use cresswheel_protocol::{FunctionProfile, ListedWorker, Micros};
 
 use crate::records::Kind;
 use crate::worker::Task;
@@ -30,7 +30,7 @@
         /// The function to run.
         function: String,
         /// The resources that it needs.
-        shape: Shape,
+        shape: FunctionProfile,
         /// Time left until the call's deadline.
         time_left: Micros,
     },
@@ -43,7 +43,7 @@
         /// The instances to hold.
         count: u32,
         /// The resources of each.
-        shape: Shape,
+        shape: FunctionProfile,
     },
     /// Unloads a function's idle instances.
     Drop {
@@ -97,7 +97,7 @@
     /// Whether the entries are the whole list.
     pub whole: bool,
     /// The entries, shared by the updates of all gateways.
-    pub entries: Rc<[Listed]>,
+    pub entries: Rc<[ListedWorker]>,
     /// Encoded bytes of the message.
     pub bytes: u64,
 }
--- a/crates/scale/src/run/fleet.rs
+++ b/crates/scale/src/run/fleet.rs
@@ -6,7 +6,7 @@
 use cresswheel::WorkerId;
 use cresswheel_engine::Output;
 use cresswheel_gateway::GatewaySettings;
-use cresswheel_protocol::{Listed, Message, Micros, Role};
+use cresswheel_protocol::{ListedWorker, Message, Micros, Role};
 use cresswheel_settings::ScaleScenario;
 use foldhash::HashMap;
 
@@ -82,7 +82,7 @@
 
     /// Starts all gateways at once; each asks for the list.
     pub fn start_gateways(&mut self) -> anyhow::Result<()> {
-        let entries: Rc<[Listed]> = self.workers.iter().map(|worker| worker.entry.clone()).collect();
+        let entries: Rc<[ListedWorker]> = self.workers.iter().map(|worker| worker.entry.clone()).collect();
         let list = Message::List { whole: true, version: 0, workers: entries.to_vec() };
         let bytes = Messages::default().count(&list);
         for number in 0..self.scenario.gateways {
@@ -94,7 +94,7 @@
     fn start_gateway(
         &mut self,
         number: usize,
-        entries: &Rc<[Listed]>,
+        entries: &Rc<[ListedWorker]>,
         list_kind: &'static str,
         bytes: u64,
     ) -> anyhow::Result<()> {
--- a/crates/scale/src/run/gateways.rs
+++ b/crates/scale/src/run/gateways.rs
@@ -2,7 +2,7 @@
 
 use cresswheel::WorkerId;
 use cresswheel_engine::{Answer, Attempt, Client, Input, Output};
-use cresswheel_protocol::{Message, Role, Standing};
+use cresswheel_protocol::{MemberState, Message, Role};
 
 use super::event::{Event, GatewayDelivery, GatewayInput, MessageSize, WorkerDelivery, WorkerRequest};
 use super::fleet::Fleet;
@@ -131,8 +131,8 @@
         };
         self.counts.gateway_sent.count(&message);
         let description = match answer.reason {
-            "" => answer.status.word().to_owned(),
-            reason => format!("{} {reason}", answer.status.word()),
+            "" => answer.status.as_str().to_owned(),
+            reason => format!("{} {reason}", answer.status.as_str()),
         };
         self.counts.add_answer(self.queue.now(), client.number, description);
     }
@@ -146,7 +146,7 @@
             time_left: attempt.time_left,
         };
         if let Some(worker) = self.worker_numbers.get(&attempt.worker) {
-            let in_service = self.workers[*worker].entry.standing == Standing::In;
+            let in_service = self.workers[*worker].entry.standing == MemberState::Active;
             self.counts.stale_attempts += u64::from(!in_service);
         }
         self.send_to_worker(gateway, &attempt.worker, attempt.number, &message, request);
--- a/crates/scale/src/run/workers.rs
+++ b/crates/scale/src/run/workers.rs
@@ -2,7 +2,7 @@
 
 use cresswheel::WorkerId;
 use cresswheel_engine::{AttemptEnd, Input, OrderEnd};
-use cresswheel_protocol::{Ending, Message, Standing};
+use cresswheel_protocol::{Ending, MemberState, Message};
 use cresswheel_standins::Effect;
 
 use super::event::{
@@ -129,7 +129,7 @@
     /// Ends a worker's process; what it had not answered breaks off.
     pub(super) fn stop_worker(&mut self, worker: usize) {
         let unanswered = self.workers[worker].stop();
-        self.workers[worker].entry.standing = Standing::Out;
+        self.workers[worker].entry.standing = MemberState::Removed;
         for (task, is_order) in unanswered {
             self.gateways[task.gateway].disconnect(worker);
             let input = if is_order {
--- a/crates/scale/src/size.rs
+++ b/crates/scale/src/size.rs
@@ -4,7 +4,7 @@
 
 use cresswheel_engine::{AttemptEnd, Call, Client, Engine, Input, Output};
 use cresswheel_gateway::GatewaySettings;
-use cresswheel_protocol::{Ending, Listed, Micros};
+use cresswheel_protocol::{Ending, ListedWorker, Micros};
 use cresswheel_settings::ScaleScenario;
 use serde::{Deserialize, Serialize};
 
@@ -108,7 +108,7 @@
 /// The first gateway and the first functions are not measured: they fill what was given back by then.
 fn trial(scenario: &ScaleScenario, settings: &GatewaySettings) -> anyhow::Result<(u64, u64)> {
     let network = Network::new(scenario);
-    let list: Vec<Listed> =
+    let list: Vec<ListedWorker> =
         (0..scenario.workers).map(|n| entry(n, network.zone_name(network.zone(n)))).collect();
     let gateway = |number: usize| -> anyhow::Result<Engine> {
         let own = settings_of(settings, number, &network.zone_name(0), scenario.gateways)?;
--- a/crates/scale/src/worker.rs
+++ b/crates/scale/src/worker.rs
@@ -2,7 +2,7 @@
 
 use cresswheel::MissPolicy;
 use cresswheel_gateway::GatewaySettings;
-use cresswheel_protocol::{Listed, Micros, Shape, Standing};
+use cresswheel_protocol::{FunctionProfile, ListedWorker, MemberState, Micros};
 use cresswheel_settings::ScaleScenario;
 use cresswheel_standins::{Effect, Job, Model, Profile};
 use foldhash::{HashMap, HashMapExt};
@@ -33,7 +33,7 @@
 /// One of them.
 pub struct SimulatedWorker {
     /// Its entry on the list, as it is in truth.
-    pub entry: Listed,
+    pub entry: ListedWorker,
     /// Its zone.
     pub zone: usize,
     /// Processes that it had before this one.
@@ -49,7 +49,7 @@
 
 impl SimulatedWorker {
     /// A worker that started long ago.
-    pub fn new(entry: Listed, zone: usize, profile: Profile) -> Self {
+    pub fn new(entry: ListedWorker, zone: usize, profile: Profile) -> Self {
         let model = Some(Model::new(profile.clone(), 0));
         Self { entry, zone, life: 0, pass_scheduled: None, model, profile, held: HashMap::new() }
     }
@@ -75,7 +75,7 @@
         now: Micros,
         task: Task,
         function: String,
-        shape: Shape,
+        shape: FunctionProfile,
         time_left: Micros,
     ) -> Vec<Effect> {
         let mut effects = Vec::new();
@@ -88,7 +88,14 @@
     }
 
     /// An order came.
-    pub fn hold(&mut self, now: Micros, task: Task, function: &str, count: u32, shape: Shape) -> Vec<Effect> {
+    pub fn hold(
+        &mut self,
+        now: Micros,
+        task: Task,
+        function: &str,
+        count: u32,
+        shape: FunctionProfile,
+    ) -> Vec<Effect> {
         let mut effects = Vec::new();
         if let Some(model) = &mut self.model {
             self.held.insert(task.code(), true);
@@ -142,7 +149,7 @@
         self.life += 1;
         self.model = Some(Model::new(self.profile.clone(), now));
         self.entry.started = now;
-        self.entry.standing = Standing::In;
+        self.entry.standing = MemberState::Active;
     }
 }
 
@@ -164,15 +171,15 @@
 }
 
 /// The entry of the n-th worker on the list.
-pub fn entry(number: usize, zone: String) -> Listed {
+pub fn entry(number: usize, zone: String) -> ListedWorker {
     let [_, a, b, c] = (number as u32).to_be_bytes();
-    Listed {
+    ListedWorker {
         id: format!("worker-{number}"),
         address: format!("10.{a}.{b}.{c}:9000"),
         zone,
         kind: "std".into(),
         cell: 0,
-        standing: Standing::In,
+        standing: MemberState::Active,
         started: 0,
     }
 }
--- a/crates/scale/tests/counts.rs
+++ b/crates/scale/tests/counts.rs
@@ -2,7 +2,7 @@
 
 use std::path::{Path, PathBuf};
 
-use cresswheel_protocol::{Listed, Message, Role, Standing, encode};
+use cresswheel_protocol::{ListedWorker, MemberState, Message, Role, encode};
 use cresswheel_scale::{Inputs, Report, Traffic, plan, run, set_all};
 use cresswheel_settings::ScaleScenario;
 
@@ -100,15 +100,15 @@
 }
 
 /// The entry of a worker, as the page on the scale run tells it.
-fn listed(number: usize) -> Listed {
+fn listed(number: usize) -> ListedWorker {
     let zone = number % 3;
-    Listed {
+    ListedWorker {
         id: format!("worker-{number}"),
         address: format!("10.0.0.{number}:9000"),
         zone: format!("region-{}-zone-{zone}", zone % 2),
         kind: "std".into(),
         cell: 0,
-        standing: Standing::In,
+        standing: MemberState::Active,
         started: 0,
     }
 }
@@ -130,7 +130,7 @@
     let received: u64 = report.startup.received.iter().map(|received| of(received, "Hello").bytes).sum();
     assert_eq!(received, (0..6).map(hello).sum::<u64>());
     // One change, at half a second: the first worker drains.
-    let change = Listed { standing: Standing::Draining, ..listed(0) };
+    let change = ListedWorker { standing: MemberState::Draining, ..listed(0) };
     let change = Message::List { whole: false, version: 1, workers: vec![change] };
     assert_eq!(of(&report.gateway.received, "List"), Traffic { messages: 6, bytes: 6 * bytes(&change) });
 }
@@ -144,7 +144,7 @@
     scenario.sources = 1;
     scenario.source_bytes_per_s = 1_000_000;
     let report = play(&scenario);
-    let change = Listed { standing: Standing::Draining, ..listed(0) };
+    let change = ListedWorker { standing: MemberState::Draining, ..listed(0) };
     let change = bytes(&Message::List { whole: false, version: 1, workers: vec![change] });
     // At a megabyte a second a byte takes a microsecond. Gateways are told in turn; the last in the other region is
     // the fifth, zone 1.
@@ -194,7 +194,7 @@
     folder.write("real.star", &cresswheel_scale::real::script(&settings, list, 123));
     let real = cresswheel_settings::read(&folder.path("real.star")).unwrap();
     assert_eq!(real.engine.dispatcher, settings.engine.dispatcher);
-    assert_eq!((real.list, real.engine.admission.open_calls), (vec![list], 123));
+    assert_eq!((real.list_services, real.engine.admission.open_calls), (vec![list], 123));
 }
 
 #[test]
--- a/crates/settings/src/gateway.rs
+++ b/crates/settings/src/gateway.rs
@@ -4,8 +4,8 @@
 
 use cresswheel::{Class, ColdStart, Effect, Group, MissPolicy, OrderRateLimit, Settings, Tenant};
 use cresswheel_engine::{AdmissionLimits, EngineSettings, ResultLimits};
-use cresswheel_gateway::{GatewaySettings, ShellLimits, VersionSettings};
-use cresswheel_protocol::{Listed, Standing};
+use cresswheel_gateway::{GatewayLimits, GatewaySettings, VersionSettings};
+use cresswheel_protocol::{ListedWorker, MemberState};
 
 use crate::SettingsError;
 use crate::fields::Fields;
@@ -98,12 +98,12 @@
         },
         listen: ([127, 0, 0, 1], 0).into(),
         http: None,
-        list: Vec::new(),
+        list_services: Vec::new(),
         workers: Vec::new(),
-        state: None,
-        holders: None,
+        state_folder: None,
+        acceptors: None,
         versions: None,
-        shell: ShellLimits::default(),
+        limits: GatewayLimits::default(),
     }
 }
 
@@ -111,9 +111,9 @@
     settings.name = fields.required_text("name");
     settings.listen = fields.required_address("listen");
     settings.http = fields.address("http");
-    settings.list = fields.addresses("list");
-    settings.state = fields.text("state").map(Into::into);
-    settings.holders = fields.optional_count("holders", (0, 64));
+    settings.list_services = fields.addresses("list");
+    settings.state_folder = fields.text("state").map(Into::into);
+    settings.acceptors = fields.optional_count("holders", (0, 64));
     let module = &mut settings.engine.dispatcher;
     module.zone = fields.text("zone").unwrap_or_default();
     module.tick = fields.time("tick", module.tick);
@@ -266,18 +266,18 @@
     settings.versions = Some(VersionSettings { key });
 }
 
-fn read_worker(fields: &mut Fields, workers: &mut Vec<Listed>) {
+fn read_worker(fields: &mut Fields, workers: &mut Vec<ListedWorker>) {
     let address = fields.required_address("address").to_string();
     let id = fields.text("id").unwrap_or_else(|| address.clone());
     let is_duplicate = workers.iter().any(|worker| worker.id == id);
     fields.require(!is_duplicate, &format!("a second worker with the id {id:?}"));
-    workers.push(Listed {
+    workers.push(ListedWorker {
         id,
         address,
         zone: fields.text("zone").unwrap_or_default(),
         kind: fields.text("kind").unwrap_or_default(),
         cell: fields.count("cell", 0, (0, usize::MAX >> 1)) as u64,
-        standing: Standing::In,
+        standing: MemberState::Active,
         started: 0,
     });
 }
@@ -293,8 +293,8 @@
     let results = &mut settings.engine.results;
     results.keep = fields.time("results_keep", results.keep);
     results.bytes = fields.size("results_bytes", results.bytes);
-    let shell = &mut settings.shell;
-    shell.stop_within = fields.time("stop_within", shell.stop_within);
+    let shell = &mut settings.limits;
+    shell.drain_timeout = fields.time("stop_within", shell.drain_timeout);
     let clients = &mut shell.clients;
     clients.frame = fields.size("frame", clients.frame);
     fields.require((1_024..=1 << 30).contains(&clients.frame), "frame must be from kb(1) to mb(1024)");
@@ -320,7 +320,7 @@
     connection_limits.pings_per_s =
         fields.count("pings_per_s", connection_limits.pings_per_s as usize, (0, 1_000_000)) as u64;
     connection_limits.leave_over =
-        fields.time("leave_over", connection_limits.leave_over.min(shell.stop_within / 2));
+        fields.time("leave_over", connection_limits.leave_over.min(shell.drain_timeout / 2));
     fields.require(connection_limits.half > 0, "half_request must be above zero");
     fields.require(connection_limits.stall > 0, "read_stall must be above zero");
     fields.require(connection_limits.ping_wait > 0, "ping_wait must be above zero");
@@ -339,11 +339,12 @@
     fields
         .require(intake.min_retry_after <= intake.max_retry_after, "return_after is longer than most_return");
     shell.worker_connections = fields.count("worker_connections", shell.worker_connections, (1, 1_000));
-    shell.worker_streams = fields.count("worker_streams", shell.worker_streams, (1, 100_000));
+    shell.max_in_flight_per_connection =
+        fields.count("worker_streams", shell.max_in_flight_per_connection, (1, 100_000));
     shell.worker_idle = fields.time("worker_idle", shell.worker_idle);
-    shell.list_retry = fields.time("list_retry", shell.list_retry);
+    shell.list_retry_delay = fields.time("list_retry", shell.list_retry_delay);
     fields.require(
-        leave_over < shell.stop_within || leave_over == 0,
+        leave_over < shell.drain_timeout || leave_over == 0,
         "leave_over must be below stop_within, or some clients are never asked to leave",
     );
 }
@@ -378,13 +379,13 @@
             report("call_class", format!("{name:?}: give_up = {give_up} is longer than most_time, {most}"));
         }
     }
-    if settings.versions.is_some() && settings.state.is_none() {
+    if settings.versions.is_some() && settings.state_folder.is_none() {
         report(
             "versions",
             "version orders are stored on disk: state = \"...\" is wanted in gateway(...)".into(),
         );
     }
-    if settings.list.is_empty() && settings.workers.is_empty() {
+    if settings.list_services.is_empty() && settings.workers.is_empty() {
         report("gateway", "neither a list nor a worker(...): there is nothing to send calls to".into());
     }
     if let Err(error) = engine.dispatcher.check() {
--- a/crates/settings/src/scale.rs
+++ b/crates/settings/src/scale.rs
@@ -2,7 +2,7 @@
 
 use std::path::{Path, PathBuf};
 
-use cresswheel_protocol::{Micros, Shape};
+use cresswheel_protocol::{FunctionProfile, Micros};
 
 use crate::SettingsError;
 use crate::fields::Fields;
@@ -100,7 +100,7 @@
     /// One-way delay between regions.
     pub between_regions: Micros,
     /// Memory, concurrency, load time and work of each function.
-    pub shape: Shape,
+    pub shape: FunctionProfile,
     /// Size of a call's body, in bytes.
     pub body: usize,
 }
@@ -129,7 +129,12 @@
             within_zone: MILLISECOND / 4,
             between_zones: MILLISECOND,
             between_regions: 35 * MILLISECOND,
-            shape: Shape { memory_mb: 300, lanes: 4, load_time: 300 * MILLISECOND, work: 5 * MILLISECOND },
+            shape: FunctionProfile {
+                memory_mb: 300,
+                lanes: 4,
+                load_time: 300 * MILLISECOND,
+                work: 5 * MILLISECOND,
+            },
             body: 200,
         }
     }
--- a/crates/settings/tests/faults.rs
+++ b/crates/settings/tests/faults.rs
@@ -55,8 +55,8 @@
         GATEWAY.replace(")", ", holders = 6)")
     );
     let settings = in_folder(&[("a.star", &script)]).unwrap();
-    let clients = settings.shell.clients;
-    assert_eq!((settings.holders, clients.door.connections, clients.per_connection), (Some(6), 100_000, 7));
+    let clients = settings.limits.clients;
+    assert_eq!((settings.acceptors, clients.door.connections, clients.per_connection), (Some(6), 100_000, 7));
     assert_eq!(clients.door.leave_over, 500_000, "half of stop_within by default");
     assert_eq!(clients.door.pings_per_s, 0);
     let errors_found = errors(&format!("{}{CLASS}{WORKER}", GATEWAY.replace(")", ", holders = 65)")));
--- a/crates/soak/src/gateways.rs
+++ b/crates/soak/src/gateways.rs
@@ -9,7 +9,7 @@
 
 use anyhow::Context;
 use cresswheel_platform_wire::client::{FromGateway, decode_from_gateway, encode_without_fields};
-use cresswheel_protocol::{Listed, Micros, Standing};
+use cresswheel_protocol::{ListedWorker, MemberState, Micros};
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
 
@@ -249,9 +249,9 @@
     }
 }
 
-fn config(number: usize, address: SocketAddr, directory: SocketAddr, hosts: &[Listed]) -> Value {
-    let member = |host: &Listed| {
-        let phase = if host.standing == Standing::In { "Ready" } else { "Terminating" };
+fn config(number: usize, address: SocketAddr, directory: SocketAddr, hosts: &[ListedWorker]) -> Value {
+    let member = |host: &ListedWorker| {
+        let phase = if host.standing == MemberState::Active { "Ready" } else { "Terminating" };
         json!({"id": host.id, "host_port": host.address, "locality": host.zone, "flavor": host.kind,
                "cell": host.cell, "phase": phase, "size": 4, "up_since_ms": host.started / MS})
     };
--- a/crates/soak/src/hosts.rs
+++ b/crates/soak/src/hosts.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use cresswheel_platform_wire::host::{decode_command, encode_answer};
-use cresswheel_protocol::{Listed, Micros, Standing};
+use cresswheel_protocol::{ListedWorker, MemberState, Micros};
 use cresswheel_transport::{Connection, Hub, HubLimits, Notice, Wire};
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::Rng;
@@ -36,7 +36,7 @@
     number: usize,
     generation: u32,
     port: ReservedPort,
-    listed: Listed,
+    listed: ListedWorker,
     hub: Hub,
     held: HashMap<Connection, Vec<u8>>,
     answers: Vec<Answer>,
@@ -96,7 +96,7 @@
         match fault {
             HostFault::Replace { .. } if self.goes.is_some() => {}
             HostFault::Replace { drains_for, same_address } => {
-                self.listed.standing = Standing::Draining;
+                self.listed.standing = MemberState::Draining;
                 self.world.roster.add(now, self.listed.clone());
                 self.goes = Some((now + drains_for, same_address));
             }
@@ -116,7 +116,7 @@
     /// The host goes, and another comes.
     fn replace(&mut self, now: Micros, same_address: bool) -> anyhow::Result<()> {
         self.goes = None;
-        self.listed.standing = Standing::Out;
+        self.listed.standing = MemberState::Removed;
         self.world.roster.add(now, self.listed.clone());
         self.end_connections();
         self.hub.stop_listening();
@@ -166,7 +166,7 @@
             "invoke" => self.invoke(connection, came, id, &fields, command.get(3).map_or(&[], |body| body)),
             "prewarm" => self.prewarm(connection, came, id, &fields),
             "alive" => {
-                let word = if self.listed.standing == Standing::In { "UP" } else { "DOWN" };
+                let word = if self.listed.standing == MemberState::Active { "UP" } else { "DOWN" };
                 self.answer_later(0, connection, id, word, "-", b"");
             }
             "abort" => self.answers.retain(|answer| answer.connection != connection || answer.id != id),
@@ -243,14 +243,14 @@
         .map(|(_, value)| value)
 }
 
-fn listed(place: usize, generation: u32, address: SocketAddr, started: Micros) -> Listed {
-    Listed {
+fn listed(place: usize, generation: u32, address: SocketAddr, started: Micros) -> ListedWorker {
+    ListedWorker {
         id: format!("s-{place:02}-{generation:03}"),
         address: address.to_string(),
         zone: "east".into(),
         kind: "std".into(),
         cell: 1,
-        standing: Standing::In,
+        standing: MemberState::Active,
         started: started / MS * MS,
     }
 }
--- a/crates/soak/src/judge.rs
+++ b/crates/soak/src/judge.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeMap;
 
-use cresswheel_protocol::{Micros, Standing};
+use cresswheel_protocol::{MemberState, Micros};
 
 use crate::records::{Arrival, Dealt, End, Life, Records, Request, RequestId, Span};
 use crate::roster::Events;
@@ -179,7 +179,7 @@
         let lives = self.records.lives.get(arrival.gateway)?;
         let number = lives.iter().rposition(|life| life.started <= arrival.at)?;
         let leaves = |event: &crate::roster::Event| {
-            event.host.id == arrival.host && event.host.standing != Standing::In
+            event.host.id == arrival.host && event.host.standing != MemberState::Active
         };
         let event = self.events.0.iter().position(leaves)? + 1;
         let told = self.told(arrival.gateway, number, &lives[number], event);
--- a/crates/soak/src/roster.rs
+++ b/crates/soak/src/roster.rs
@@ -2,7 +2,7 @@
 
 use std::sync::{Mutex, PoisonError};
 
-use cresswheel_protocol::{Listed, Micros, Standing};
+use cresswheel_protocol::{ListedWorker, MemberState, Micros};
 
 /// A host's standing has changed.
 #[derive(Clone, Debug)]
@@ -10,7 +10,7 @@
     /// When.
     pub at: Micros,
     /// The host.
-    pub host: Listed,
+    pub host: ListedWorker,
 }
 
 /// The events, numbered from 1.
@@ -19,11 +19,11 @@
 
 impl Events {
     /// The list as of an event.
-    pub fn list(&self, number: usize) -> Vec<Listed> {
-        let mut hosts: Vec<Listed> = Vec::new();
+    pub fn list(&self, number: usize) -> Vec<ListedWorker> {
+        let mut hosts: Vec<ListedWorker> = Vec::new();
         for event in self.0.iter().take(number) {
             hosts.retain(|host| host.id != event.host.id);
-            if event.host.standing != Standing::Out {
+            if event.host.standing != MemberState::Removed {
                 hosts.push(event.host.clone());
             }
         }
@@ -42,7 +42,7 @@
 
 impl Roster {
     /// Something has changed.
-    pub fn add(&self, at: Micros, host: Listed) {
+    pub fn add(&self, at: Micros, host: ListedWorker) {
         self.0.lock().unwrap_or_else(PoisonError::into_inner).0.push(Event { at, host });
     }
 
--- a/crates/soak/tests/judge.rs
+++ b/crates/soak/tests/judge.rs
@@ -1,6 +1,6 @@
 //! Each rule of the soak on records made up for it: what must hold does, and what must be found is.
 
-use cresswheel_protocol::{Listed, Micros, Standing};
+use cresswheel_protocol::{ListedWorker, MemberState, Micros};
 use cresswheel_soak::judge::{Rule, judge};
 use cresswheel_soak::plan::{Fault, ProcessFault, Size, draw};
 use cresswheel_soak::records::{Arrival, Book, Dealt, End, Life, Records, Request, RequestId, Span, Told};
@@ -34,16 +34,23 @@
     records.arrivals.push(Arrival { request: Some(ID), gateway: 0, host, at, patience: 0, dealt });
 }
 
-fn event(at: Micros, standing: Standing) -> Event {
+fn event(at: Micros, standing: MemberState) -> Event {
     let text = String::new;
-    let host =
-        Listed { id: "h".into(), address: text(), zone: text(), kind: text(), cell: 0, standing, started: 0 };
+    let host = ListedWorker {
+        id: "h".into(),
+        address: text(),
+        zone: text(),
+        kind: text(),
+        cell: 0,
+        standing,
+        started: 0,
+    };
     Event { at, host }
 }
 
 /// The host stands from the start, and drains at the tenth second.
 fn drains() -> Events {
-    Events(vec![event(0, Standing::In), event(10 * S, Standing::Draining)])
+    Events(vec![event(0, MemberState::Active), event(10 * S, MemberState::Draining)])
 }
 
 fn found(records: &Records) -> Vec<Rule> {
--- a/crates/standins/src/echo.rs
+++ b/crates/standins/src/echo.rs
@@ -43,7 +43,7 @@
                 match message {
                     Message::Run { attempt, body, trace, class, function, .. } if !self.silent => {
                         let at = self.hub.clock().now();
-                        let (gateway, ending) = (String::new(), Ending::Ok.word().into());
+                        let (gateway, ending) = (String::new(), Ending::Ok.as_str().into());
                         let run = RecordedEvent::Run {
                             gateway,
                             trace: trace.clone(),
--- a/crates/standins/src/list.rs
+++ b/crates/standins/src/list.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-use cresswheel_protocol::{Listed, Message, Micros, Standing};
+use cresswheel_protocol::{ListedWorker, MemberState, Message, Micros};
 use cresswheel_transport::{Connection, Hub, HubLimits, Notice, Wire};
 
 use crate::records::{RecordedEvent, Recorder};
@@ -16,7 +16,7 @@
     hub: Hub,
     address: SocketAddr,
     recorder: Recorder,
-    entries: BTreeMap<String, Listed>,
+    entries: BTreeMap<String, ListedWorker>,
     version: u64,
     /// Worker id by the connection that registered it.
     registered: HashMap<Connection, String>,
@@ -28,7 +28,7 @@
     /// How long a worker stays listed after its connection ended.
     removal_delay: Micros,
     /// Changes that are not yet published, with the time when each is due.
-    changes: Vec<(Micros, Listed)>,
+    changes: Vec<(Micros, ListedWorker)>,
 }
 
 impl WorkerList {
@@ -90,14 +90,14 @@
             Message::Follow {} => {
                 let name = self.names.get(&connection).cloned().unwrap_or_default();
                 self.subscribers.insert(connection, name);
-                let workers: Vec<Listed> = self.entries.values().cloned().collect();
+                let workers: Vec<ListedWorker> = self.entries.values().cloned().collect();
                 self.send_list(connection, true, workers);
             }
             Message::Register { workers } => {
                 for worker in workers {
                     self.registered.insert(connection, worker.id.clone());
                     // Discards pending removals of the worker's previous process.
-                    self.changes.retain(|(_, w)| w.id != worker.id || w.standing != Standing::Out);
+                    self.changes.retain(|(_, w)| w.id != worker.id || w.standing != MemberState::Removed);
                     self.changes.push((now + self.delay, worker));
                 }
             }
@@ -124,13 +124,13 @@
             ["freeze", duration] => self.frozen_until = now + ms(duration)?,
             // Lists a worker that does not exist.
             ["ghost", id, address] => {
-                let listed = Listed {
+                let listed = ListedWorker {
                     id: id.into(),
                     address: address.into(),
                     zone: String::new(),
                     kind: String::new(),
                     cell: 0,
-                    standing: Standing::In,
+                    standing: MemberState::Active,
                     started: 0,
                 };
                 self.changes.push((now, listed));
@@ -152,7 +152,7 @@
             && !self.registered.values().any(|other| *other == id)
             && let Some(listed) = self.entries.get(&id)
         {
-            let removed = Listed { standing: Standing::Out, ..listed.clone() };
+            let removed = ListedWorker { standing: MemberState::Removed, ..listed.clone() };
             self.changes.push((self.hub.clock().now() + self.removal_delay, removed));
         }
     }
@@ -168,7 +168,7 @@
         }
         self.version += 1;
         for worker in &due {
-            if worker.standing == Standing::Out {
+            if worker.standing == MemberState::Removed {
                 self.entries.remove(&worker.id);
             } else {
                 self.entries.insert(worker.id.clone(), worker.clone());
@@ -179,10 +179,10 @@
         }
     }
 
-    fn send_list(&mut self, subscriber: Connection, whole: bool, workers: Vec<Listed>) {
+    fn send_list(&mut self, subscriber: Connection, whole: bool, workers: Vec<ListedWorker>) {
         let now = self.hub.clock().now();
         let gateway = self.subscribers.get(&subscriber).cloned().unwrap_or_default();
-        let states = workers.iter().map(|w| (w.id.clone(), w.standing.word().to_owned())).collect();
+        let states = workers.iter().map(|w| (w.id.clone(), w.standing.as_str().to_owned())).collect();
         self.recorder.write(now, RecordedEvent::Told { gateway, whole, workers: states });
         let version = self.version;
         self.hub.send(subscriber, &Message::List { whole, version, workers }, None);
--- a/crates/standins/src/worker.rs
+++ b/crates/standins/src/worker.rs
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use cresswheel_protocol::{Ending, Listed, Message, Micros, Origin, Role, Standing};
+use cresswheel_protocol::{Ending, ListedWorker, MemberState, Message, Micros, Origin, Role};
 use cresswheel_transport::{Connection, Hub, HubLimits, Notice, Wire};
 use rand_pcg::Pcg32;
 use sha2::{Digest, Sha256};
@@ -198,13 +198,13 @@
         self.list = Some(list);
         let hello = self.hello();
         self.hub.send(list, &hello, None);
-        let entry = Listed {
+        let entry = ListedWorker {
             id: self.settings.id.clone(),
             address: self.address.to_string(),
             zone: self.settings.zone.clone(),
             kind: self.settings.kind.clone(),
             cell: self.settings.cell,
-            standing: if self.draining { Standing::Draining } else { Standing::In },
+            standing: if self.draining { MemberState::Draining } else { MemberState::Active },
             started: self.started,
         };
         self.hub.send(list, &Message::Register { workers: vec![entry] }, None);
@@ -394,7 +394,7 @@
         let lose = lose.max(self.faults.class_share(now, &class));
         let lost = self.is_cut_off(now, connection) || (lose > 0.0 && self.uniform() < lose);
         let breaks = !lost && reset > 0.0 && self.uniform() < reset;
-        let word = ending.word().into();
+        let word = ending.as_str().into();
         let ran = RecordedEvent::Ran { trace, ending: word, lost: lost || breaks, image: image.clone() };
         self.recorder.write(now, ran);
         if breaks {
--- a/crates/standins/src/worker_model/function.rs
+++ b/crates/standins/src/worker_model/function.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use cresswheel_protocol::Shape;
+use cresswheel_protocol::FunctionProfile;
 
 use super::Job;
 
@@ -28,7 +28,7 @@
 /// A function's instances, calls and orders at the worker.
 #[derive(Debug, Default)]
 pub struct Function {
-    pub shape: Option<Shape>,
+    pub shape: Option<FunctionProfile>,
     /// Loaded instances.
     pub loaded: u32,
     /// Instances that are being fetched or started.
--- a/crates/standins/src/worker_model/loads.rs
+++ b/crates/standins/src/worker_model/loads.rs
@@ -1,6 +1,6 @@
 //! Loads: prewarm orders, fetches and memory.
 
-use cresswheel_protocol::{Ending, Shape};
+use cresswheel_protocol::{Ending, FunctionProfile};
 
 use super::function::{AcceptedJob, Function, Order};
 use super::{Effect, Model};
@@ -16,7 +16,7 @@
         order: u64,
         name: &str,
         count: u32,
-        shape: Shape,
+        shape: FunctionProfile,
         out: &mut Vec<Effect>,
     ) {
         self.pass(now, out);
--- a/crates/standins/src/worker_model/mod.rs
+++ b/crates/standins/src/worker_model/mod.rs
@@ -10,7 +10,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use cresswheel_protocol::{Ending, Shape};
+use cresswheel_protocol::{Ending, FunctionProfile};
 use rand_pcg::Pcg32;
 
 use crate::random::uniform;
@@ -26,7 +26,7 @@
     /// The function.
     pub function: String,
     /// Memory, concurrency, load time and work of the function.
-    pub shape: Shape,
+    pub shape: FunctionProfile,
     /// The client's deadline.
     pub deadline: u64,
 }
@@ -108,7 +108,7 @@
     }
 
     /// Average time of a call of this shape on one standard core, in microseconds.
-    pub fn work(shape: &Shape) -> u64 {
+    pub fn work(shape: &FunctionProfile) -> u64 {
         if shape.work > 0 { shape.work } else { DEFAULT_WORK_US }
     }
 
--- a/crates/standins/tests/worker_model.rs
+++ b/crates/standins/tests/worker_model.rs
@@ -2,14 +2,14 @@
 
 use std::collections::BTreeSet;
 
-use cresswheel_protocol::{Ending, Shape};
+use cresswheel_protocol::{Ending, FunctionProfile};
 use cresswheel_standins::{Effect, Job, Model, Profile};
 
 const MILLISECOND: u64 = 1_000;
 const SECOND: u64 = 1_000_000;
 
-fn shape() -> Shape {
-    Shape { memory_mb: 4_000, lanes: 2, load_time: 100 * MILLISECOND, work: 10 * MILLISECOND }
+fn shape() -> FunctionProfile {
+    FunctionProfile { memory_mb: 4_000, lanes: 2, load_time: 100 * MILLISECOND, work: 10 * MILLISECOND }
 }
 
 fn job(number: u64, function: &str) -> Job {
--- a/crates/transport/src/hub.rs
+++ b/crates/transport/src/hub.rs
@@ -561,8 +561,10 @@
     /// Bytes buffered of an incomplete frame or request; at least one if there is one.
     fn buffered_bytes(&self, id: Connection) -> usize {
         match self.get_ref(id).and_then(|conn| conn.active.as_ref()).map(|active| &active.decode) {
-            Some(Decode::Frames(decoder)) => decoder.held(),
-            Some(Decode::Http(decoder)) => decoder.held().max(usize::from(decoder.midway())),
+            Some(Decode::Frames(decoder)) => decoder.buffered_len(),
+            Some(Decode::Http(decoder)) => {
+                decoder.buffered_len().max(usize::from(decoder.has_partial_request()))
+            }
             Some(Decode::Raw(_)) | None => 0,
         }
     }
