--- a/crates/scale/src/hollow.rs
+++ b/crates/scale/src/hollow.rs
@@ -64,13 +64,13 @@
         adapt(
             &mut new,
             &self.settings.name,
-            &self.settings.engine.module.zone,
-            self.settings.engine.module.gateways,
+            &self.settings.engine.dispatcher.zone,
+            self.settings.engine.dispatcher.gateways,
         );
         new.engine.admission.open_calls += version as usize;
         let fixed = self.settings.fixed_differences(&new);
         anyhow::ensure!(fixed.is_empty(), "needs a restart: {}", fixed.join(", "));
-        self.engine.change_bounds(&new.engine);
+        self.engine.update_limits(&new.engine);
         self.settings = new;
         Ok(self.book(Kind::Settings, before))
     }
@@ -84,7 +84,7 @@
 
     /// Uses the connection to a worker; whether it had to be opened.
     pub fn connect(&mut self, now: Micros, worker: usize) -> bool {
-        let idle = self.settings.shell.worker_idle;
+        let idle = self.settings.limits.worker_idle;
         let last = self.connections.insert(worker, now);
         let opens = last.is_none_or(|last| last + idle < now);
         self.opened += u64::from(opens);
@@ -93,7 +93,7 @@
 
     /// Connections that stand.
     pub fn connections(&self, now: Micros) -> usize {
-        let idle = self.settings.shell.worker_idle;
+        let idle = self.settings.limits.worker_idle;
         self.connections.values().filter(|last| **last + idle >= now).count()
     }
 
@@ -106,8 +106,8 @@
 /// Makes the common settings those of one gateway of a fleet.
 fn adapt(settings: &mut GatewaySettings, name: &str, zone: &str, gateways: u32) {
     settings.name = name.into();
-    settings.engine.module.zone = zone.into();
-    settings.engine.module.gateways = gateways;
+    settings.engine.dispatcher.zone = zone.into();
+    settings.engine.dispatcher.gateways = gateways;
     settings.workers = Vec::new();
 }
 
--- a/crates/scale/src/real.rs
+++ b/crates/scale/src/real.rs
@@ -13,7 +13,7 @@
 
 use anyhow::Context;
 use cresswheel_gateway::GatewaySettings;
-use cresswheel_protocol::{Listed, Message, Status};
+use cresswheel_protocol::{ListedWorker, Message, Status};
 use cresswheel_rehearsal::{Client, Process};
 use cresswheel_settings::ScaleScenario;
 use serde::{Deserialize, Serialize};
@@ -168,7 +168,7 @@
         let network = Network::new(scenario);
         let worker = |number| {
             let listed = entry(number, network.zone_name(network.zone(number)));
-            Listed { address: workers.main.to_string(), ..listed }
+            ListedWorker { address: workers.main.to_string(), ..listed }
         };
         let all = (0..scenario.workers).map(worker).collect();
         registrar.send(&Message::Register { workers: all })?;
@@ -238,7 +238,7 @@
 
     /// Each gateway gets its part of the fleet's calls for a while.
     fn load(&mut self, inputs: &RealInputs, span: Duration) -> anyhow::Result<()> {
-        let class = inputs.settings.engine.module.classes.first().map_or("", |class| class.name.as_str());
+        let class = inputs.settings.engine.dispatcher.classes.first().map_or("", |class| class.name.as_str());
         let mut clients = Vec::new();
         for (number, gateway) in self.gateways.iter().enumerate() {
             let (at, class, mut scenario) = (gateway.main, class.to_owned(), inputs.scenario.clone());
--- a/crates/scale/src/run/workers.rs
+++ b/crates/scale/src/run/workers.rs
@@ -2,7 +2,7 @@
 
 use cresswheel::WorkerId;
 use cresswheel_engine::{AttemptEnd, Input, OrderEnd};
-use cresswheel_protocol::{Ending, Message, Standing};
+use cresswheel_protocol::{Ending, MemberState, Message};
 use cresswheel_standins::Effect;
 
 use super::event::{
@@ -58,7 +58,7 @@
     fn answer_probe(&mut self, worker: usize, gateway: usize) {
         let message = Message::Probed { number: 0, held: 0, queued: 0 };
         let id = WorkerId::from(self.workers[worker].entry.id.as_str());
-        let input = GatewayInput { kind: Kind::Probed, input: Input::Probed(id) };
+        let input = GatewayInput { kind: Kind::Probed, input: Input::ProbeAnswered(id) };
         self.send_message(worker, gateway, &message, input);
     }
 
@@ -129,7 +129,7 @@
     /// Ends a worker's process; what it had not answered breaks off.
     pub(super) fn stop_worker(&mut self, worker: usize) {
         let unanswered = self.workers[worker].stop();
-        self.workers[worker].entry.standing = Standing::Out;
+        self.workers[worker].entry.standing = MemberState::Removed;
         for (task, is_order) in unanswered {
             self.gateways[task.gateway].disconnect(worker);
             let input = if is_order {
