--- a/src/wanted.rs
+++ b/src/wanted.rs
@@ -35,18 +35,22 @@
 
 impl Eq for Priority {}
 
-/// The load time behind a priority: only priorities with the same one are comparable.
+/// Which load time a priority was computed with. Two priorities are comparable only if both have the same
+/// source.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadTimeSource {
     /// The function's own load time is known and is a factor of the priority.
     Function,
-    /// The load time is the estimate shared by all such functions, and is left out of the priority.
+    /// The function's own load time is not known. All functions without one share one estimate, which is left
+    /// out of their priorities.
     Shared,
 }
 
 type Ranking = BTreeSet<(Reverse<Priority>, Prewarm)>;
 
-/// The wanted prewarms.
+/// The wanted prewarms. The dispatcher reviews those that [`PrewarmQueue::take_changed`] returns: it removes
+/// a prewarm that is no longer wanted or that it has ordered, defers one that can't be ordered now, and ranks
+/// all others (`review_prewarm` in `rules.rs`). It also reviews the highest ranked ones, to order them.
 #[derive(Debug, Default)]
 pub struct PrewarmQueue {
     /// Each with its position in a ranking; `None` if it is new or deferred.
@@ -54,9 +58,10 @@
     by_worker: BTreeMap<WorkerIndex, BTreeSet<FunctionIndex>>,
     ranked_by_own_load_time: Ranking,
     ranked_by_shared_load_time: Ranking,
-    /// When the deferred prewarms of a worker are to be reviewed again.
+    /// Times at which the deferred prewarms of a worker are to be reviewed again.
     resume_at: BTreeSet<(Micros, WorkerIndex)>,
-    /// Functions that have changed since their prewarms were last reviewed.
+    /// Functions whose prewarms are to be reviewed: since the last review, the function changed, it got a new
+    /// prewarm, or a worker for which it has a prewarm changed or had its deferral end.
     changed: BTreeSet<FunctionIndex>,
     /// When `take_changed` last ran.
     reviewed_at: Micros,
@@ -97,8 +102,8 @@
         }
     }
 
-    /// Leaves a prewarm out of the rankings until the given time; with `Micros::MAX`, until its function or
-    /// worker changes.
+    /// Leaves a prewarm out of the rankings until its next review: at the given time, or earlier if its
+    /// function is marked for review by then. With `Micros::MAX`, only such a mark leads to a review.
     pub fn defer(&mut self, prewarm: Prewarm, until: Micros) {
         self.unrank(prewarm);
         if until < Micros::MAX {
@@ -106,15 +111,18 @@
         }
     }
 
-    /// Marks all prewarms of a worker for review.
+    /// Marks all functions that have a prewarm for the worker: all prewarms of these functions are reviewed,
+    /// those for other workers too.
     pub fn worker_changed(&mut self, worker: WorkerIndex) {
         let functions = self.by_worker.get(&worker).into_iter().flatten();
         self.changed.extend(functions);
     }
 
-    /// Marks the prewarms of a function for review, before something of it changes. `wanted_until` is the
-    /// value before the change: if the last review came after it, the prewarms had expired then and are
-    /// removed.
+    /// Marks the prewarms of a function for review, before something of it changes that may change their
+    /// priority or whether they are wanted. `wanted_until` is the end of the function's forecast before the
+    /// change. A review skips functions that are not marked, so their prewarms stay queued when the forecast
+    /// ends. If `take_changed` last ran at that end or later, they had expired by then. They are removed
+    /// here, because the change may move the end to a later time.
     pub fn function_changing(&mut self, function: FunctionIndex, wanted_until: Micros) {
         if self.reviewed_at >= wanted_until {
             for prewarm in self.visit_function(function) {
@@ -124,7 +132,8 @@
         self.changed.insert(function);
     }
 
-    /// Takes the prewarms to review: of functions that have changed, and those deferred until now.
+    /// Takes the prewarms to review: all those of the marked functions, and of each function that has a
+    /// prewarm for a worker whose deferral ends by now.
     pub fn take_changed(&mut self, now: Micros) -> Vec<Prewarm> {
         self.reviewed_at = now;
         while let Some((_, worker)) = self.resume_at.first().copied().filter(|(at, _)| *at <= now) {
@@ -162,7 +171,9 @@
         self.add_calls
     }
 
-    /// Entries visited so far: a measure of the work done.
+    /// Entries visited so far, a measure of the work done, for the dispatcher's statistics (`tally.rs`). Each
+    /// of these is a visit: a look-up of a function, a prewarm found by it, a prewarm inserted, and a look-up
+    /// of a prewarm to take it out of its ranking.
     pub fn visits(&self) -> u64 {
         self.visits
     }
