--- a/crates/platform-wire/examples/directory_bytes.rs
+++ b/crates/platform-wire/examples/directory_bytes.rs
@@ -1,5 +1,6 @@
-//! Measures the size of a directory's answer and the processor time of decoding it, by the number of hosts,
-//! and prints how many hosts fit into an answer of a given size.
+//! Measures the size of an answer of the directory (the platform's DNS server that lists the hosts, which are
+//! the workers) and the processor time of decoding it, by the number of hosts. It also prints how many hosts
+//! fit into an answer of a given size.
 //!
 //! `cargo run --release -p cresswheel-platform-wire --example directory_bytes`
 //!
@@ -12,11 +13,12 @@
 use cresswheel_platform_wire::directory::{self, HostList};
 use cresswheel_protocol::{Listed, Standing};
 
-/// A datagram has 65,507 bytes at most, which bounds the number of hosts.
+/// Numbers of hosts to measure. They are no limits, but their answers have to fit into a datagram.
 const HOSTS: [usize; 5] = [1, 25, 50, 100, 200];
 const RUNS: usize = 9;
 const REPEATS: usize = 50;
-/// Largest answer of the directory, and largest datagram, in bytes.
+/// Largest answer of the platform's directory, and the largest UDP datagram over IPv4, in bytes. No answer in
+/// one datagram can exceed the second, whatever the directory's own limit is.
 const MAX_SIZES: [usize; 2] = [8_000, 65_507];
 
 fn answer(hosts: usize) -> Vec<u8> {
@@ -25,10 +27,12 @@
         address: format!("10.120.{}.{}:7201", number / 250 % 250, number % 250),
         zone: format!("r1-z{}", number % 5),
         kind: "std-32".into(),
+        // A cell is a group of workers that share the record of idempotency keys; here it has 40.
         cell: number as u64 / 40,
         standing: Standing::In,
         started: 1_790_000_000_000_000,
     };
+    // One entry for each host.
     let listing = HostList { serial: 7, hosts: (0..hosts).map(listed).collect() };
     directory::encode_host_list(1, &listing).expect("an answer")
 }
@@ -37,6 +41,7 @@
     let query = directory::encode_query(1).expect("a query").len();
     println!("a query: {query} bytes");
     let mut length = Series::new("a directory's answer", "bytes", "hosts");
+    // The processor time of decoding one answer.
     let mut reading = Series::new("reading a directory's answer", "us", "hosts");
     for hosts in HOSTS {
         let bytes = answer(hosts);
