--- a/crates/platform-wire/src/config.rs
+++ b/crates/platform-wire/src/config.rs
@@ -1,4 +1,4 @@
-//! Configuration of a gateway on the platform: JSON, read at the start and again on SIGHUP.
+//! Configuration of a gateway on the operators' platform: JSON, read at the start and again on SIGHUP.
 
 use std::net::SocketAddr;
 
@@ -25,10 +25,11 @@
     pub limits: Limits,
     /// Address of the directory.
     pub names: SocketAddr,
-    /// Directory events up to the start.
+    /// Events of the directory (numbered changes of its host list, or complete lists) up to the start.
     #[serde(default)]
     pub known: Known,
-    /// Settings in the simulator's format, nested.
+    /// The settings that the simulator gives to `cresswheel-simhost` as pairs such as
+    /// `limits.max_attempts=5`, here as nested objects.
     settings: Value,
 }
 
@@ -76,14 +77,16 @@
         pairs.into_iter().collect()
     }
 
-    /// The settings of the decision module.
+    /// The settings of the decision module (`cresswheel::Dispatcher`), checked.
     pub fn module(&self) -> Result<Settings, ConfigError> {
         let settings = self.pairs().settings()?;
         if settings.classes.is_empty() {
             return Err(SettingPairError::Absent("profiles".into()).into());
         }
         settings.check()?;
+        // The names in the file may differ from those of the fields; `cresswheel::Settings` explains these.
         let durations = [
+            // The shortest time between two deliveries of events to the decision module.
             ("tick", settings.tick),
             (
                 "profiles, aim",
@@ -93,12 +96,15 @@
                 "profiles, give_up",
                 settings.classes.iter().map(|class| class.client_timeout).max().unwrap_or(0),
             ),
+            // How long an idle instance stays loaded at least.
             ("specifics.keep_alive", settings.keep_alive),
             ("specifics.load_wait", settings.order_timeout),
             ("limits.connect_timeout", settings.connect_timeout),
             ("limits.max_retry_after", settings.max_retry_after),
             ("rules.drain_grace", settings.drain_grace),
+            // After its start, a worker has its full capacity by this time.
             ("rules.warm_up", settings.cold_start.warm_up),
+            // Overload for this long makes a cold worker's process collapse ("fall").
             ("rules.fall", settings.cold_start.overload_window),
         ];
         match durations.into_iter().find(|(_, duration)| *duration > MAX_DURATION) {
