--- a/crates/gateway/src/holders.rs
+++ b/crates/gateway/src/holders.rs
@@ -25,7 +25,7 @@
 const MAX_RESTART_DELAY: Micros = 5_000_000;
 
 struct Acceptor {
-    /// The socket between the gateway and this process.
+    /// The socket between the gateway and the acceptor process.
     trunk: Connection,
     child: Child,
     started_at: Micros,
@@ -34,7 +34,7 @@
     /// The numbers of unanswered requests, by connection.
     unanswered: BTreeMap<Connection, BTreeSet<u64>>,
     counts: ConnectionCounts,
-    /// The value it was sent last.
+    /// Whether another acceptor process can take more connections: the value that this one was sent last.
     capacity_elsewhere: bool,
 }
 
@@ -53,7 +53,7 @@
 /// Holds one acceptor process, or waits to start it.
 enum Slot {
     Running(Box<Acceptor>),
-    /// When to start the process, and the delay before the start after that.
+    /// When to start the process, and the delay before the next try if that start fails.
     Vacant(Micros, Micros),
 }
 
@@ -77,8 +77,9 @@
 pub struct Acceptors {
     command: HolderCommand,
     listeners: Vec<socket2::Socket>,
-    /// The second listener speaks HTTP.
+    /// There is a second listener, which speaks HTTP; the first one speaks the main protocol, in frames.
     http: bool,
+    /// The limits of client connections for each acceptor process: its part of the gateway's limits.
     terms: ClientLimits,
     slots: Vec<Slot>,
     /// The incarnation given to the process started last.
@@ -90,7 +91,7 @@
     /// All calls are answered.
     finishing: bool,
     paused: bool,
-    /// Processes started after the initial ones.
+    /// Processes started after an earlier one in their slot had exited, or after a start there had failed.
     pub restarts: u64,
 }
 
@@ -98,7 +99,7 @@
     (key >> INCARNATION_SHIFT) as u16
 }
 
-/// Whether the connection belongs to this process.
+/// Whether the gateway process itself holds the connection, not an acceptor.
 pub fn is_local(key: ConnectionKey) -> bool {
     incarnation(key) == 0
 }
@@ -171,6 +172,7 @@
     /// set. A full process closes no connection in favor of a new one while another has capacity; one that is
     /// about to start has its whole capacity.
     fn send_terms(&mut self, event_loop: &mut Hub, all: bool) {
+        // The limit of one process.
         let max = self.terms.door.connections;
         let has_capacity = |slot: &Slot| match slot {
             Slot::Running(acceptor) => acceptor.counts.connections < max,
@@ -194,10 +196,13 @@
     /// Accepts only the connections that are in the accept queue already, and asks all clients to disconnect.
     pub fn drain(&mut self, event_loop: &mut Hub) {
         self.draining = true;
-        // The process that closes a listener last has accepted all that was queued there.
+        // A listening socket ends, with its accept queue, when the last process closes it. After this, only
+        // acceptors keep it open. On `Leave`, each of them accepts all that is queued and then closes it, and
+        // so does the last one.
         self.listeners.clear();
         for slot in &mut self.slots {
             if let Slot::Running(acceptor) = slot {
+                // Until its next counts: whether it still has connections to ask to leave.
                 acceptor.counts.asking = acceptor.counts.connections > 0;
             }
         }
@@ -221,6 +226,7 @@
     pub fn tick(&mut self, event_loop: &mut Hub) {
         self.exited.retain_mut(|child| matches!(child.try_wait(), Ok(None)));
         let now = event_loop.clock().now();
+        // `place` is the index of a slot.
         for place in 0..self.slots.len() {
             let Slot::Vacant(at, delay) = self.slots[place] else { continue };
             if at > now || self.draining {
@@ -316,10 +322,12 @@
     fn handle_message(&mut self, incarnation: u16, slot: usize, message: Message) -> Option<AcceptorEvent> {
         let Slot::Running(acceptor) = &mut self.slots[slot] else { return None };
         match message {
+            // Names the connection of the next message, and when that message arrived at the acceptor.
             Message::Of { connection, came } => acceptor.next_message = Some((connection, came)),
             Message::Counts { json } => {
                 acceptor.counts = serde_json::from_slice(&json).unwrap_or_default();
-                // These may have been counted before the process received `Leave`.
+                // These may have been counted before the process received `Leave`: then it has asked no
+                // connection to leave yet, and `asking` (some are still to be asked) is false by mistake.
                 acceptor.counts.asking |=
                     self.draining && acceptor.counts.asked == 0 && acceptor.counts.connections > 0;
             }
@@ -347,10 +355,12 @@
         let acceptor = std::mem::replace(&mut self.slots[slot], Slot::Vacant(now, MIN_RESTART_DELAY));
         let Slot::Running(mut acceptor) = acceptor else { return AcceptorEvent::Exited(Vec::new()) };
         if !self.draining {
+            // `held`: the connections that it reported last.
             let (process, held) = (acceptor.child.id(), acceptor.counts.connections);
             tracing::warn!(process, held, %why, "acceptor process exited");
         }
-        // The process may still run, with only its trunk lost; without the trunk it is of no use.
+        // The gateway sees only that the trunk was closed. The process may still run, for example after an
+        // error on the trunk, but without the trunk it is of no use.
         let _ = acceptor.child.kill();
         let delay = if acceptor.started_at + STABLE_AFTER < now { 0 } else { MIN_RESTART_DELAY };
         self.slots[slot] = Slot::Vacant(now + delay, MIN_RESTART_DELAY * 2);
@@ -370,6 +380,7 @@
         let Slot::Running(acceptor) = &mut self.slots[*slot] else { return };
         let connection = key & ((1 << INCARNATION_SHIFT) - 1);
         answer_number(message).into_iter().for_each(|number| acceptor.remove_unanswered(connection, number));
+        // The time of arrival has a meaning only in the other direction, so it is 0.
         event_loop.send(acceptor.trunk, &Message::Of { connection, came: 0 }, None);
         event_loop.send(acceptor.trunk, message, None);
     }
