--- a/crates/gateway/src/holders.rs
+++ b/crates/gateway/src/holders.rs
@@ -197,8 +197,8 @@
     pub fn drain(&mut self, event_loop: &mut Hub) {
         self.draining = true;
         // A listening socket ends, with its accept queue, when the last process closes it. After this, only
-        // acceptors keep it open. On `Leave`, each of them accepts all that is queued and then closes it, and
-        // so does the last one.
+        // the processes that accept on it keep it open. When told to drain, each of them accepts all that is
+        // queued and then closes it, and so does the last one.
         self.listeners.clear();
         for slot in &mut self.slots {
             if let Slot::Running(acceptor) = slot {
@@ -322,7 +322,7 @@
     fn handle_message(&mut self, incarnation: u16, slot: usize, message: Message) -> Option<AcceptorEvent> {
         let Slot::Running(acceptor) = &mut self.slots[slot] else { return None };
         match message {
-            // Names the connection of the next message, and when that message arrived at the acceptor.
+            // Names the connection of the next message, and the earliest time at which it can have arrived.
             Message::Of { connection, came } => acceptor.next_message = Some((connection, came)),
             Message::Counts { json } => {
                 acceptor.counts = serde_json::from_slice(&json).unwrap_or_default();
