--- a/crates/carriers/examples/connection_cost.rs
+++ b/crates/carriers/examples/connection_cost.rs
@@ -14,7 +14,7 @@
 use cresswheel::WorkerId;
 use cresswheel_carriers::{CarrierLimits, ConnectionPool, Payload};
 use cresswheel_measure::{Series, resident_bytes, run_child_for_value, thread_cpu_time};
-use cresswheel_transport::{Hub, HubLimits, Notice, Wire};
+use cresswheel_transport::{EventLoop, EventLoopLimits, LoopEvent, Wire};
 
 const CONNECTIONS: [usize; 5] = [200, 1_000, 2_000, 4_000, 8_000];
 const RUNS: usize = 3;
@@ -48,7 +48,7 @@
 
 /// An event loop with connections to workers, each to a worker of its own.
 struct Fixture {
-    hub: Hub,
+    hub: EventLoop,
     carriers: ConnectionPool,
     limits: CarrierLimits,
 }
@@ -64,7 +64,7 @@
             idle: HOUR,
         };
         Self {
-            hub: Hub::new(HubLimits::default()).expect("a hub"),
+            hub: EventLoop::new(EventLoopLimits::default()).expect("a hub"),
             carriers: ConnectionPool::default(),
             limits,
         }
@@ -98,13 +98,13 @@
     fn await_established(&mut self) -> usize {
         self.hub.wait(Some(self.hub.clock().now() + 1_000_000)).expect("a loop iteration");
         let mut established = 0;
-        while let Some(notice) = self.hub.take_notice() {
+        while let Some(notice) = self.hub.next_event() {
             match notice {
-                Notice::Connected(connection) => {
+                LoopEvent::Connected(connection) => {
                     self.carriers.mark_established(connection);
                     established += 1;
                 }
-                Notice::Closed { why, .. } => panic!("a connection was lost: {why}"),
+                LoopEvent::Closed { why, .. } => panic!("a connection was lost: {why}"),
                 _ => {}
             }
         }
--- a/crates/carriers/src/lib.rs
+++ b/crates/carriers/src/lib.rs
@@ -12,7 +12,7 @@
 use cresswheel::WorkerId;
 use cresswheel_engine::{AttemptEnd, Input, OrderEnd};
 use cresswheel_protocol::Micros;
-use cresswheel_transport::{Connection, Hub, Sent, Wire};
+use cresswheel_transport::{Connection, EventLoop, Sent, Wire};
 use foldhash::HashMap;
 
 /// A pooled connection to a worker.
@@ -82,7 +82,7 @@
     /// available. `begin` writes the preamble of a new connection; `usable` may exclude connections.
     pub fn dispatch(
         &mut self,
-        hub: &mut Hub,
+        hub: &mut EventLoop,
         limits: &CarrierLimits,
         (worker, address): (&WorkerId, SocketAddr),
         (cargo, frame): (Payload, impl FnOnce(&mut Vec<u8>)),
@@ -131,7 +131,7 @@
     /// limit allows it; returns the new connection.
     pub fn connect(
         &mut self,
-        hub: &mut Hub,
+        hub: &mut EventLoop,
         limits: &CarrierLimits,
         to: (&WorkerId, SocketAddr),
         begin: impl FnOnce(&mut Vec<u8>),
@@ -146,7 +146,7 @@
 
     fn open(
         &mut self,
-        hub: &mut Hub,
+        hub: &mut EventLoop,
         limits: &CarrierLimits,
         (worker, address): (&WorkerId, SocketAddr),
         begin: impl FnOnce(&mut Vec<u8>),
@@ -173,7 +173,7 @@
     /// connection.
     pub fn send_control(
         &mut self,
-        hub: &mut Hub,
+        hub: &mut EventLoop,
         worker: &WorkerId,
         frame: impl FnOnce(&mut Vec<u8>),
     ) -> Option<Connection> {
@@ -186,7 +186,7 @@
     /// Sends the worker a cancellation on the connection that carries the attempt; returns that connection.
     pub fn cancel(
         &mut self,
-        hub: &mut Hub,
+        hub: &mut EventLoop,
         attempt: u64,
         frame: impl FnOnce(&mut Vec<u8>),
     ) -> Option<Connection> {
@@ -196,9 +196,9 @@
     }
 
     /// Withdraws an attempt or order if no byte of it was sent; returns whether it did.
-    pub fn cancel_if_unsent(&mut self, hub: &mut Hub, number: u64) -> bool {
+    pub fn cancel_if_unsent(&mut self, hub: &mut EventLoop, number: u64) -> bool {
         let Some(connection) = self.assignments.get(&number).copied() else { return false };
-        let withdrawn = hub.withdraw(connection, number);
+        let withdrawn = hub.cancel_unsent(connection, number);
         if withdrawn {
             self.complete(hub, number);
         }
@@ -206,7 +206,7 @@
     }
 
     /// Withdraws all attempts and orders for a worker of which no byte was sent, and returns how they ended.
-    pub fn withdraw_all(&mut self, hub: &mut Hub, worker: &WorkerId) -> Vec<Input> {
+    pub fn withdraw_all(&mut self, hub: &mut EventLoop, worker: &WorkerId) -> Vec<Input> {
         let to_worker = self.by_worker.get(worker).cloned().unwrap_or_default();
         let mut ended = Vec::new();
         for pooled in to_worker.iter().filter_map(|connection| self.connections.get(connection)) {
@@ -224,7 +224,7 @@
     }
 
     /// Removes an attempt or order that is no longer in flight; returns the connection that carried it.
-    pub fn complete(&mut self, hub: &Hub, number: u64) -> Option<Connection> {
+    pub fn complete(&mut self, hub: &EventLoop, number: u64) -> Option<Connection> {
         let connection = self.assignments.remove(&number)?;
         let pooled = self.connections.get_mut(&connection)?;
         if pooled.attempts.remove(&number) {
@@ -235,7 +235,7 @@
     }
 
     /// Whether an attempt or order is queued here and no byte of it was sent.
-    pub fn is_unsent(&self, hub: &Hub, number: u64) -> bool {
+    pub fn is_unsent(&self, hub: &EventLoop, number: u64) -> bool {
         let connection = self.assignments.get(&number);
         connection.is_some_and(|connection| hub.sent(*connection, number) == Sent::Nothing)
     }
@@ -311,7 +311,7 @@
     }
 
     /// Closes idle connections, and leaving ones with nothing in flight.
-    pub fn close_idle(&mut self, hub: &mut Hub, idle: Micros) {
+    pub fn close_idle(&mut self, hub: &mut EventLoop, idle: Micros) {
         let now = hub.clock().now();
         let closable = |c: &PooledConnection| {
             c.established && c.in_flight() == 0 && (c.leaving || c.is_stale(now, idle))
--- a/crates/carriers/tests/idle.rs
+++ b/crates/carriers/tests/idle.rs
@@ -4,14 +4,14 @@
 use std::time::Duration;
 
 use cresswheel_carriers::{CarrierLimits, ConnectionPool, Payload};
-use cresswheel_transport::{Connection, Hub, HubLimits, Notice, Wire};
+use cresswheel_transport::{Connection, EventLoop, EventLoopLimits, LoopEvent, Wire};
 
 const IDLE: Duration = Duration::from_millis(50);
 
 /// An event loop, its connections to one worker, and the worker's listener. The listener never accepts:
 /// connections stay in the kernel's backlog.
 struct Fixture {
-    hub: Hub,
+    hub: EventLoop,
     carriers: ConnectionPool,
     worker: TcpListener,
     limits: CarrierLimits,
@@ -24,7 +24,7 @@
             CarrierLimits { wire, connections, streams: 10, spread: 1, connect_timeout: 10_000_000, idle };
         let worker = TcpListener::bind("127.0.0.1:0").unwrap();
         Self {
-            hub: Hub::new(HubLimits::default()).unwrap(),
+            hub: EventLoop::new(EventLoopLimits::default()).unwrap(),
             carriers: ConnectionPool::default(),
             worker,
             limits,
@@ -41,8 +41,8 @@
     fn await_established(&mut self, connection: Connection) {
         let end = self.hub.clock().now() + 10_000_000;
         loop {
-            while let Some(notice) = self.hub.take_notice() {
-                if matches!(notice, Notice::Connected(which) if which == connection) {
+            while let Some(notice) = self.hub.next_event() {
+                if matches!(notice, LoopEvent::Connected(which) if which == connection) {
                     return self.carriers.mark_established(connection);
                 }
             }
--- a/crates/clients/src/clients.rs
+++ b/crates/clients/src/clients.rs
@@ -5,7 +5,7 @@
 use cresswheel_admission::{Admission, ConnectionCounts, ConnectionEvent, ConnectionLimiter};
 use cresswheel_protocol::http::Request;
 use cresswheel_protocol::{Message, Micros, Role, Status};
-use cresswheel_transport::{Connection, Hub, Notice, slot};
+use cresswheel_transport::{Connection, EventLoop, LoopEvent, slot};
 
 use crate::ClientLimits;
 use crate::http::{self, ParsedRequest};
@@ -76,8 +76,8 @@
 
 impl Clients {
     /// Starts without connections. `http_listener` is the event loop's number of the listener for HTTP.
-    pub fn new(hub: &mut Hub, terms: ClientLimits, http_listener: Option<u32>) -> Self {
-        hub.tell_halves();
+    pub fn new(hub: &mut EventLoop, terms: ClientLimits, http_listener: Option<u32>) -> Self {
+        hub.report_partial_messages();
         let limiter = ConnectionLimiter::new(hub.clock().now(), terms.door);
         Self {
             terms,
@@ -92,7 +92,7 @@
     }
 
     /// Sets new limits, also for existing connections.
-    pub fn change(&mut self, hub: &mut Hub, terms: ClientLimits) {
+    pub fn change(&mut self, hub: &mut EventLoop, terms: ClientLimits) {
         self.terms = terms;
         hub.set_limits(terms.hub());
         self.limiter.set_limits(hub.clock().now(), terms.door);
@@ -105,7 +105,7 @@
 
     /// Accepts the connections in the backlog, stops listening, and asks all connections to leave, spread
     /// over `leave_over`.
-    pub fn drain(&mut self, hub: &mut Hub) {
+    pub fn drain(&mut self, hub: &mut EventLoop) {
         self.draining = true;
         hub.accept_waiting();
         hub.stop_listening();
@@ -123,7 +123,7 @@
     }
 
     /// Whether output still waits to be sent.
-    pub fn has_unsent_output(&self, hub: &Hub) -> bool {
+    pub fn has_unsent_output(&self, hub: &EventLoop) -> bool {
         self.states.iter().filter_map(|state| state.connection).any(|connection| hub.backlog(connection) > 0)
     }
 
@@ -133,41 +133,43 @@
     }
 
     /// Handles a notice about a client connection; others are returned.
-    pub fn notice(&mut self, hub: &mut Hub, notice: Notice) -> Option<Notice> {
+    pub fn notice(&mut self, hub: &mut EventLoop, notice: LoopEvent) -> Option<LoopEvent> {
         let now = hub.clock().now();
         match notice {
-            Notice::Opened(connection, listener) => self.on_opened(hub, connection, listener),
-            Notice::Message(connection, message) if self.is_connected(connection) => {
+            LoopEvent::Opened(connection, listener) => self.on_opened(hub, connection, listener),
+            LoopEvent::Message(connection, message) if self.is_connected(connection) => {
                 self.limiter.on_message_complete(now, slot(connection));
                 if !self.states[slot(connection)].is_closing() {
                     self.on_message(hub, connection, message);
                 }
             }
-            Notice::Request(connection, request) if self.is_connected(connection) => {
+            LoopEvent::Request(connection, request) if self.is_connected(connection) => {
                 self.limiter.on_message_complete(now, slot(connection));
                 if !self.states[slot(connection)].is_closing() {
                     self.on_request(hub, connection, request);
                 }
             }
-            Notice::BadRequest(connection, error) if self.is_connected(connection) => {
+            LoopEvent::BadRequest(connection, error) if self.is_connected(connection) => {
                 self.limiter.on_message_complete(now, slot(connection));
                 let response = http::text_response(error.status, error.reason, false);
                 self.respond_now(hub, connection, response, false);
             }
-            Notice::Half(connection, partial_bytes) if self.is_connected(connection) => {
+            LoopEvent::PartialMessage(connection, partial_bytes) if self.is_connected(connection) => {
                 if !self.states[slot(connection)].is_closing() {
                     self.limiter.on_event(now, slot(connection), ConnectionEvent::Received(partial_bytes));
                 }
             }
-            Notice::Flushed(connection) if self.is_connected(connection) => self.on_flushed(hub, connection),
-            Notice::Closed { connection, guest: true, .. } => {
+            LoopEvent::Flushed(connection) if self.is_connected(connection) => {
+                self.on_flushed(hub, connection)
+            }
+            LoopEvent::Closed { connection, is_inbound: true, .. } => {
                 // A connection that was rejected as it arrived is closed as well, without a state here.
                 if self.is_connected(connection) {
                     self.open_requests =
                         self.open_requests.saturating_sub(self.limiter.open_requests(slot(connection)));
                     self.limiter.on_closed(slot(connection));
                     self.states[slot(connection)] = State::default();
-                    self.queue_request(hub.came(), connection, Message::Bye { reason: String::new() });
+                    self.queue_request(hub.arrived_at(), connection, Message::Bye { reason: String::new() });
                 }
             }
             other => return Some(other),
@@ -179,7 +181,7 @@
         self.states.get(slot(connection)).is_some_and(|state| state.connection == Some(connection))
     }
 
-    fn on_opened(&mut self, hub: &mut Hub, connection: Connection, listener: u32) {
+    fn on_opened(&mut self, hub: &mut EventLoop, connection: Connection, listener: u32) {
         let http = Some(listener) == self.http_listener;
         // It is closed already; notices of its requests, if any, come before its `Closed` notice.
         let Some(address) = hub.peer(connection) else { return hub.close(connection, "gone at the door") };
@@ -213,7 +215,7 @@
     /// calls.
     fn queue_answered_request(
         &mut self,
-        hub: &mut Hub,
+        hub: &mut EventLoop,
         arrived: Micros,
         connection: Connection,
         tenant: &str,
@@ -244,7 +246,7 @@
 
     /// A request was answered or canceled. False: it was not open, so that a cancel and an answer that
     /// crossed count once.
-    fn close_request(&mut self, hub: &Hub, connection: Connection, number: u64) -> bool {
+    fn close_request(&mut self, hub: &EventLoop, connection: Connection, number: u64) -> bool {
         let state = &mut self.states[slot(connection)];
         if !state.outstanding.as_mut().is_some_and(|outstanding| outstanding.open_requests.remove(&number)) {
             return false;
@@ -255,8 +257,8 @@
         true
     }
 
-    fn on_message(&mut self, hub: &mut Hub, connection: Connection, message: Message) {
-        let arrived = hub.came();
+    fn on_message(&mut self, hub: &mut EventLoop, connection: Connection, message: Message) {
+        let arrived = hub.arrived_at();
         match message {
             Message::Cancel { number } => self.on_cancel(hub, arrived, connection, number),
             message => match self.read_ahead(connection) {
@@ -272,7 +274,13 @@
     }
 
     /// Handles a message of the main protocol.
-    pub(crate) fn frame(&mut self, hub: &mut Hub, arrived: Micros, connection: Connection, message: Message) {
+    pub(crate) fn frame(
+        &mut self,
+        hub: &mut EventLoop,
+        arrived: Micros,
+        connection: Connection,
+        message: Message,
+    ) {
         let handshake_done = std::mem::replace(&mut self.states[slot(connection)].handshake_done, true);
         match message {
             Message::Hello { role: Role::Client, .. } if !handshake_done => {}
@@ -298,7 +306,7 @@
         }
     }
 
-    fn on_cancel(&mut self, hub: &mut Hub, arrived: Micros, connection: Connection, number: u64) {
+    fn on_cancel(&mut self, hub: &mut EventLoop, arrived: Micros, connection: Connection, number: u64) {
         if !self.states[slot(connection)].handshake_done {
             return self.close_with_bye(hub, connection, "a connection begins with Hello as a client");
         }
@@ -309,13 +317,13 @@
         }
     }
 
-    fn close_with_bye(&mut self, hub: &mut Hub, connection: Connection, reason: &str) {
+    fn close_with_bye(&mut self, hub: &mut EventLoop, connection: Connection, reason: &str) {
         hub.send(connection, &Message::Bye { reason: reason.into() }, None);
         hub.finish(connection);
-        self.queue_request(hub.came(), connection, Message::Bye { reason: String::new() });
+        self.queue_request(hub.arrived_at(), connection, Message::Bye { reason: String::new() });
     }
 
-    fn on_request(&mut self, hub: &mut Hub, connection: Connection, request: Request) {
+    fn on_request(&mut self, hub: &mut EventLoop, connection: Connection, request: Request) {
         let state = &mut self.states[slot(connection)];
         let keep_alive = request.keep_alive && !self.draining && !state.asked_to_leave;
         let outstanding = state.outstanding.get_or_insert_default();
@@ -334,7 +342,7 @@
                     Message::Call { tenant, .. } => tenant.clone(),
                     _ => String::new(),
                 };
-                self.queue_answered_request(hub, hub.came(), connection, &tenant, message);
+                self.queue_answered_request(hub, hub.arrived_at(), connection, &tenant, message);
             }
             ParsedRequest::Health => {
                 self.respond_now(hub, connection, http::text_response(200, "alive", keep_alive), keep_alive);
@@ -351,7 +359,13 @@
     }
 
     /// Queues a response that needs no answer of the gateway; it is sent after those of earlier requests.
-    fn respond_now(&mut self, hub: &mut Hub, connection: Connection, response: Vec<u8>, keep_alive: bool) {
+    fn respond_now(
+        &mut self,
+        hub: &mut EventLoop,
+        connection: Connection,
+        response: Vec<u8>,
+        keep_alive: bool,
+    ) {
         let Some(state) = self.states.get_mut(slot(connection)) else { return };
         let outstanding = state.outstanding.get_or_insert_default();
         let number = outstanding.next_number;
@@ -368,7 +382,7 @@
     /// Sets the response to a request; it is sent after those of earlier requests.
     fn respond(
         &mut self,
-        hub: &mut Hub,
+        hub: &mut EventLoop,
         connection: Connection,
         number: u64,
         response: impl Fn(&PendingResponse) -> Vec<u8>,
@@ -382,7 +396,7 @@
         self.send_responses(hub, connection);
     }
 
-    fn send_responses(&mut self, hub: &mut Hub, connection: Connection) {
+    fn send_responses(&mut self, hub: &mut EventLoop, connection: Connection) {
         loop {
             let Some(state) = self.states.get_mut(slot(connection)) else { return };
             let Some(outstanding) = &mut state.outstanding else { return };
@@ -399,7 +413,7 @@
 
     /// Sends a message of the gateway to a client: `Accepted`, `Answer`, `Paged` or `Versioned`; or `Bye`,
     /// which also closes the connection.
-    pub fn reply(&mut self, hub: &mut Hub, connection: Connection, message: &Message) {
+    pub fn reply(&mut self, hub: &mut EventLoop, connection: Connection, message: &Message) {
         if !self.is_connected(connection) || !hub.is_open(connection) {
             return;
         }
@@ -413,7 +427,7 @@
         }
     }
 
-    fn send_answer(&mut self, hub: &mut Hub, connection: Connection, message: &Message) {
+    fn send_answer(&mut self, hub: &mut EventLoop, connection: Connection, message: &Message) {
         if self.states[slot(connection)].http {
             match message {
                 Message::Accepted { number, id } => {
--- a/crates/clients/src/closing.rs
+++ b/crates/clients/src/closing.rs
@@ -2,14 +2,14 @@
 
 use cresswheel_admission::{ConnectionAction, ConnectionEvent};
 use cresswheel_protocol::{Message, Micros};
-use cresswheel_transport::{Connection, Hub, slot};
+use cresswheel_transport::{Connection, EventLoop, slot};
 
 use crate::Clients;
 use crate::owed::{ReadAhead, Stalled};
 
 impl Clients {
     /// Does what the connection limits require now, and pauses or resumes accepting.
-    pub fn tick(&mut self, hub: &mut Hub) {
+    pub fn tick(&mut self, hub: &mut EventLoop) {
         let now = hub.clock().now();
         while let Some(act) = self.limiter.next_action(now) {
             match act {
@@ -42,20 +42,20 @@
         }
     }
 
-    fn ask_to_leave(&mut self, hub: &mut Hub, slot: usize) {
+    fn ask_to_leave(&mut self, hub: &mut EventLoop, slot: usize) {
         let state = &mut self.states[slot];
         let Some(connection) = state.connection else { return };
         state.asked_to_leave = true;
         if !state.http {
             hub.send(connection, &Message::GoingAway { reason: "stopping".into() }, None);
-        } else if state.outstanding.is_none() && !hub.midway(connection) {
+        } else if state.outstanding.is_none() && !hub.has_partial_message(connection) {
             hub.finish(connection);
         }
     }
 
     /// Closes a connection for this reason, unless bytes that were just received are still to be handled, or
     /// requests are open that are to be answered first.
-    fn on_timeout(&mut self, hub: &mut Hub, slot: usize, why: &'static str) {
+    fn on_timeout(&mut self, hub: &mut EventLoop, slot: usize, why: &'static str) {
         let now = hub.clock().now();
         let Some(connection) = self.states[slot].connection else { return };
         let has_open = self.states[slot].has_open();
@@ -90,7 +90,7 @@
     }
 
     /// Closes a connection that is to be closed, if it has no open request.
-    pub(crate) fn close_if_settled(&mut self, hub: &mut Hub, connection: Connection) {
+    pub(crate) fn close_if_settled(&mut self, hub: &mut EventLoop, connection: Connection) {
         let state = &mut self.states[slot(connection)];
         if state.has_open() {
             return;
@@ -123,7 +123,7 @@
 
     /// Marks a client as stalled if its backlog is over the limit. On the main protocol, reading from it goes
     /// on up to a limit, because it may cancel requests.
-    pub(crate) fn check_backlog(&mut self, hub: &mut Hub, connection: Connection) {
+    pub(crate) fn check_backlog(&mut self, hub: &mut EventLoop, connection: Connection) {
         let backlog = hub.backlog(connection);
         if backlog <= self.terms.backlog {
             return;
@@ -135,13 +135,13 @@
         if state.http {
             hub.pause(connection, true);
         } else {
-            hub.tell_flushed(connection);
+            hub.report_flushed(connection);
         }
         self.limiter.on_event(hub.clock().now(), slot(connection), ConnectionEvent::Stalled);
     }
 
     /// The output backlog of a client is sent: the requests read ahead are handled.
-    pub(crate) fn on_flushed(&mut self, hub: &mut Hub, connection: Connection) {
+    pub(crate) fn on_flushed(&mut self, hub: &mut EventLoop, connection: Connection) {
         self.limiter.on_event(hub.clock().now(), slot(connection), ConnectionEvent::Resumed);
         let state = &mut self.states[slot(connection)];
         let stalled = state.outstanding.as_mut().and_then(|outstanding| outstanding.stalled.take());
@@ -161,7 +161,7 @@
 
     /// Closes each connection that has no outstanding work, no output to send and no received bytes to
     /// handle. True: no connection is left.
-    pub fn finish_all(&mut self, hub: &mut Hub) -> bool {
+    pub fn finish_all(&mut self, hub: &mut EventLoop) -> bool {
         let mut none_left = true;
         for state in &mut self.states {
             let Some(connection) = state.connection else { continue };
--- a/crates/clients/src/terms.rs
+++ b/crates/clients/src/terms.rs
@@ -2,7 +2,7 @@
 
 use cresswheel_admission::ConnectionLimits;
 use cresswheel_protocol::{Limits, http};
-use cresswheel_transport::HubLimits;
+use cresswheel_transport::EventLoopLimits;
 use serde::{Deserialize, Serialize};
 
 /// Limits of client connections, in whichever process they are held.
@@ -29,7 +29,7 @@
 
 impl Default for ClientLimits {
     fn default() -> Self {
-        let hub = HubLimits::default();
+        let hub = EventLoopLimits::default();
         Self {
             door: ConnectionLimits::default(),
             backlog: 1 << 20,
@@ -38,18 +38,18 @@
             http_head: hub.http.head,
             http_headers: hub.http.headers,
             http_body: hub.http.body,
-            out: hub.out,
+            out: hub.max_output,
         }
     }
 }
 
 impl ClientLimits {
     /// The limits that the event loop enforces.
-    pub fn hub(&self) -> HubLimits {
-        HubLimits {
+    pub fn hub(&self) -> EventLoopLimits {
+        EventLoopLimits {
             frame: Limits { frame: self.frame },
             http: http::Limits { head: self.http_head, headers: self.http_headers, body: self.http_body },
-            out: self.out,
+            max_output: self.out,
             // Connections are limited by `door`.
             accepted: usize::MAX,
         }
--- a/crates/clients/src/trunk.rs
+++ b/crates/clients/src/trunk.rs
@@ -8,7 +8,7 @@
 use anyhow::Context;
 use calloop::signals::Signal;
 use cresswheel_protocol::{Message, Micros};
-use cresswheel_transport::{Clock, Connection, Hub, Notice, Wire};
+use cresswheel_transport::{Clock, Connection, EventLoop, LoopEvent, Wire};
 use rustix::net::{
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
     SendFlags,
@@ -83,15 +83,15 @@
         "expected one or two listeners from the gateway"
     );
     // Nothing is accepted before the gateway has sent its clock and limits.
-    let mut hub = Hub::new(ClientLimits::default().hub())?;
+    let mut hub = EventLoop::new(ClientLimits::default().hub())?;
     let trunk = hub.adopt(trunk, Wire::Frames)?;
     let config = loop {
         hub.wait(None)?;
-        match hub.take_notice() {
-            Some(Notice::Message(_, Message::Terms { json })) => {
+        match hub.next_event() {
+            Some(LoopEvent::Message(_, Message::Terms { json })) => {
                 break serde_json::from_slice::<AcceptorConfig>(&json)?;
             }
-            Some(Notice::Closed { why, .. }) => anyhow::bail!("the gateway closed the connection: {why}"),
+            Some(LoopEvent::Closed { why, .. }) => anyhow::bail!("the gateway closed the connection: {why}"),
             _ => {}
         }
     };
@@ -122,7 +122,7 @@
 }
 
 struct Acceptor {
-    hub: Hub,
+    hub: EventLoop,
     clients: Clients,
     trunk: Connection,
     /// The connection that the next message from the gateway is for.
@@ -155,7 +155,7 @@
             let due = due.chain(self.finishing.then_some(now + FLUSH_CHECK_INTERVAL));
             let due = due.chain((self.last_counts.0 > 0).then_some(counts_due)).min();
             self.hub.wait(due)?;
-            while let Some(notice) = self.hub.take_notice() {
+            while let Some(notice) = self.hub.next_event() {
                 if let Some(notice) = self.clients.notice(&mut self.hub, notice) {
                     self.on_trunk_notice(notice)?;
                 }
@@ -167,8 +167,8 @@
                 self.hub.send(self.trunk, &ask.message, None);
             }
             match self.hub.backlog(self.trunk) {
-                backlog if backlog > TRUNK_PAUSE => self.hub.hold_guests(true),
-                backlog if backlog < TRUNK_RESUME => self.hub.hold_guests(false),
+                backlog if backlog > TRUNK_PAUSE => self.hub.pause_inbound(true),
+                backlog if backlog < TRUNK_RESUME => self.hub.pause_inbound(false),
                 _ => {}
             }
             self.send_counts()?;
@@ -193,10 +193,10 @@
         Ok(())
     }
 
-    fn on_trunk_notice(&mut self, notice: Notice) -> anyhow::Result<()> {
+    fn on_trunk_notice(&mut self, notice: LoopEvent) -> anyhow::Result<()> {
         let message = match notice {
-            Notice::Message(_, message) => message,
-            Notice::Closed { why, .. } => {
+            LoopEvent::Message(_, message) => message,
+            LoopEvent::Closed { why, .. } => {
                 tracing::debug!(%why, "the gateway has exited");
                 // A restarted gateway may bind the port at once.
                 self.hub.stop_listening();
--- a/crates/crowd/src/crowd.rs
+++ b/crates/crowd/src/crowd.rs
@@ -7,7 +7,7 @@
 
 use cresswheel_protocol::{FunctionProfile, Message, Micros, Role, Status as Ending};
 use cresswheel_standins::{RecordedEvent, Recorder};
-use cresswheel_transport::{Connection, Hub, HubLimits, Notice, Wire};
+use cresswheel_transport::{Connection, EventLoop, EventLoopLimits, LoopEvent, Wire};
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::Rng;
 use serde::{Deserialize, Serialize};
@@ -99,7 +99,7 @@
 /// Clients of a gateway.
 pub struct Crowd {
     settings: CrowdSettings,
-    hub: Hub,
+    hub: EventLoop,
     control: SocketAddr,
     recorder: Recorder,
     rng: Pcg32,
@@ -119,7 +119,7 @@
 impl Crowd {
     /// Listens for commands.
     pub fn start(settings: CrowdSettings) -> io::Result<Self> {
-        let mut hub = Hub::new(HubLimits::default())?;
+        let mut hub = EventLoop::new(EventLoopLimits::default())?;
         let (_, control) = hub.listen(settings.control, Wire::Frames)?;
         Ok(Self {
             recorder: Recorder::new(settings.records.as_deref(), &settings.name)?,
@@ -159,7 +159,7 @@
             let soon = self.scheduled.last().map(|(at, _)| *at);
             let over = (!self.open.is_empty()).then_some(now + 50_000);
             self.hub.wait(soon.into_iter().chain(over).min())?;
-            while let Some(notice) = self.hub.take_notice() {
+            while let Some(notice) = self.hub.next_event() {
                 self.notice(notice);
             }
         }
@@ -180,9 +180,9 @@
         }
     }
 
-    fn notice(&mut self, notice: Notice) {
+    fn notice(&mut self, notice: LoopEvent) {
         match notice {
-            Notice::Connected(connection) => {
+            LoopEvent::Connected(connection) => {
                 self.connecting -= 1;
                 self.established.push(connection);
                 self.status.established += 1;
@@ -191,8 +191,8 @@
                     self.hub.pause(connection, true);
                 }
             }
-            Notice::Message(connection, message) => self.message(connection, message),
-            Notice::Closed { connection, guest: false, never_stood, .. } => {
+            LoopEvent::Message(connection, message) => self.message(connection, message),
+            LoopEvent::Closed { connection, is_inbound: false, never_stood, .. } => {
                 self.status.lost += 1;
                 if never_stood {
                     self.connecting -= 1;
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -13,7 +13,7 @@
 use cresswheel_clients::{ClientLimits, ClientRequest, Clients};
 use cresswheel_engine::{Answer, Attempt, AttemptEnd, Call, Client, Engine, Input, OrderEnd, Output};
 use cresswheel_protocol::{ListedWorker, Message, Micros, Origin, Role, Status};
-use cresswheel_transport::{Connection, Hub, Notice, Wire, listener};
+use cresswheel_transport::{Connection, EventLoop, LoopEvent, Wire, listener};
 use foldhash::HashMap;
 use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
 
@@ -50,7 +50,7 @@
 pub struct Gateway {
     settings: GatewaySettings,
     reload: Reload,
-    event_loop: Hub,
+    event_loop: EventLoop,
     engine: Engine,
     workers: Workers,
     ready: Ready,
@@ -131,7 +131,7 @@
         reload: Reload,
         acceptor: AcceptorCommand,
     ) -> anyhow::Result<Self> {
-        let mut event_loop = Hub::new(settings.limits.clients.hub()).context("event loop")?;
+        let mut event_loop = EventLoop::new(settings.limits.clients.hub()).context("event loop")?;
         event_loop.signals(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP]).context("signals")?;
         event_loop.leave_within(LONG_ITERATION);
         let budget = DescriptorBudget {
@@ -241,7 +241,7 @@
                 _ => {}
             }
             self.event_loop.wait(Some(self.next_due()))?;
-            while let Some(notice) = self.event_loop.take_notice() {
+            while let Some(notice) = self.event_loop.next_event() {
                 self.handle_notice(notice);
             }
             self.start_calls();
@@ -275,10 +275,10 @@
         }
         // Unread requests wait in kernel buffers, and their time keeps running.
         if self.intake.is_full() {
-            self.event_loop.hold_guests(true);
+            self.event_loop.pause_inbound(true);
             self.acceptors.pause(&mut self.event_loop, true);
         } else if self.intake.may_resume_reading() {
-            self.event_loop.hold_guests(false);
+            self.event_loop.pause_inbound(false);
             self.acceptors.pause(&mut self.event_loop, false);
         }
     }
@@ -301,7 +301,7 @@
         all.into_iter().flatten().min().unwrap_or(self.next_idle_check)
     }
 
-    fn handle_notice(&mut self, notice: Notice) {
+    fn handle_notice(&mut self, notice: LoopEvent) {
         let Some(notice) = self.clients.notice(&mut self.event_loop, notice) else {
             while let Some(ask) = self.clients.take_request() {
                 self.handle_request(ask.connection, ask);
@@ -309,7 +309,7 @@
             return;
         };
         match notice {
-            Notice::Message(connection, _) | Notice::Closed { connection, .. }
+            LoopEvent::Message(connection, _) | LoopEvent::Closed { connection, .. }
                 if self.acceptors.is_trunk(connection) =>
             {
                 match self.acceptors.handle_notice(&mut self.event_loop, notice) {
@@ -320,15 +320,15 @@
                     None => {}
                 }
             }
-            Notice::Connected(connection) if Some(connection) != self.list_connection => {
+            LoopEvent::Connected(connection) if Some(connection) != self.list_connection => {
                 self.workers.connected(&self.event_loop, connection)
             }
-            Notice::Message(connection, message) => self.handle_message(connection, message),
-            Notice::Closed { connection, never_stood, unsent, why, .. } => {
+            LoopEvent::Message(connection, message) => self.handle_message(connection, message),
+            LoopEvent::Closed { connection, never_stood, unsent, why, .. } => {
                 self.handle_closed(connection, never_stood, &unsent, &why);
             }
-            Notice::Signal(Signal::SIGHUP) => self.reload_settings(),
-            Notice::Signal(signal) => self.stop(signal),
+            LoopEvent::Signal(Signal::SIGHUP) => self.reload_settings(),
+            LoopEvent::Signal(signal) => self.stop(signal),
             // All others concern client connections, which `Clients` has handled.
             _ => {}
         }
--- a/crates/gateway/src/holders.rs
+++ b/crates/gateway/src/holders.rs
@@ -14,7 +14,7 @@
 use cresswheel_admission::ConnectionCounts;
 use cresswheel_clients::{ClientLimits, ClientRequest, answer_number, request_number, trunk};
 use cresswheel_protocol::{Message, Micros};
-use cresswheel_transport::{Connection, Hub, Notice, Wire};
+use cresswheel_transport::{Connection, EventLoop, LoopEvent, Wire};
 
 /// Builds the command that runs an acceptor process; its standard input is set afterwards.
 pub type AcceptorCommand = Box<dyn Fn() -> io::Result<Command>>;
@@ -149,7 +149,7 @@
         self.running().map(|acceptor| &acceptor.counts)
     }
 
-    fn terms_message(&self, event_loop: &Hub, capacity_elsewhere: bool) -> Message {
+    fn terms_message(&self, event_loop: &EventLoop, capacity_elsewhere: bool) -> Message {
         let (clock, http, finish) = (event_loop.clock().base(), self.http, self.finishing);
         let terms = trunk::AcceptorConfig {
             clock,
@@ -162,7 +162,7 @@
     }
 
     /// Sends new terms to all processes.
-    pub fn set_terms(&mut self, event_loop: &mut Hub, terms: ClientLimits) {
+    pub fn set_terms(&mut self, event_loop: &mut EventLoop, terms: ClientLimits) {
         self.terms = terms;
         self.send_terms(event_loop, true);
     }
@@ -170,7 +170,7 @@
     /// Tells each process whether another one has capacity for connections, if that changed or if `all` is
     /// set. A full process closes no connection in favor of a new one while another has capacity; one that is
     /// about to start has its whole capacity.
-    fn send_terms(&mut self, event_loop: &mut Hub, all: bool) {
+    fn send_terms(&mut self, event_loop: &mut EventLoop, all: bool) {
         let max = self.terms.door.connections;
         let has_capacity = |slot: &Slot| match slot {
             Slot::Running(acceptor) => acceptor.counts.connections < max,
@@ -187,12 +187,12 @@
         }
     }
 
-    fn broadcast(&self, event_loop: &mut Hub, message: &Message) {
+    fn broadcast(&self, event_loop: &mut EventLoop, message: &Message) {
         self.running().for_each(|acceptor| _ = event_loop.send(acceptor.trunk, message, None));
     }
 
     /// Accepts only the connections that are in the accept queue already, and asks all clients to disconnect.
-    pub fn drain(&mut self, event_loop: &mut Hub) {
+    pub fn drain(&mut self, event_loop: &mut EventLoop) {
         self.draining = true;
         // The process that closes a listener last has accepted all that was queued there.
         self.listeners.clear();
@@ -205,20 +205,20 @@
     }
 
     /// Pauses or resumes reading requests.
-    pub fn pause(&mut self, event_loop: &mut Hub, paused: bool) {
+    pub fn pause(&mut self, event_loop: &mut EventLoop, paused: bool) {
         if std::mem::replace(&mut self.paused, paused) != paused {
             self.running().for_each(|acceptor| event_loop.pause(acceptor.trunk, paused));
         }
     }
 
     /// Called once all calls are answered: each process exits when its connections have ended.
-    pub fn finish(&mut self, event_loop: &mut Hub) {
+    pub fn finish(&mut self, event_loop: &mut EventLoop) {
         self.finishing = true;
         self.send_terms(event_loop, true);
     }
 
     /// Starts the processes that are due and reaps those that exited.
-    pub fn tick(&mut self, event_loop: &mut Hub) {
+    pub fn tick(&mut self, event_loop: &mut EventLoop) {
         self.exited.retain_mut(|child| matches!(child.try_wait(), Ok(None)));
         let now = event_loop.clock().now();
         for place in 0..self.slots.len() {
@@ -241,7 +241,7 @@
         }
     }
 
-    fn start(&mut self, event_loop: &mut Hub, now: Micros) -> io::Result<Acceptor> {
+    fn start(&mut self, event_loop: &mut EventLoop, now: Micros) -> io::Result<Acceptor> {
         let (ours, theirs) = UnixStream::pair()?;
         trunk::send_listeners(&ours, &self.listeners)?;
         let mut command = (self.command)()?;
@@ -294,9 +294,9 @@
     }
 
     /// Handles a notice of a trunk.
-    pub fn handle_notice(&mut self, event_loop: &mut Hub, notice: Notice) -> Option<AcceptorEvent> {
+    pub fn handle_notice(&mut self, event_loop: &mut EventLoop, notice: LoopEvent) -> Option<AcceptorEvent> {
         match notice {
-            Notice::Message(connection, message) => {
+            LoopEvent::Message(connection, message) => {
                 let (incarnation, slot) = self.slot_of(connection)?;
                 let counts = matches!(message, Message::Counts { .. });
                 let from = self.handle_message(incarnation, slot, message);
@@ -305,7 +305,7 @@
                 }
                 from
             }
-            Notice::Closed { connection, why, .. } => {
+            LoopEvent::Closed { connection, why, .. } => {
                 let (incarnation, slot) = self.slot_of(connection)?;
                 Some(self.handle_exit(event_loop, incarnation, slot, &why))
             }
@@ -341,7 +341,13 @@
         None
     }
 
-    fn handle_exit(&mut self, event_loop: &Hub, incarnation: u16, slot: usize, why: &str) -> AcceptorEvent {
+    fn handle_exit(
+        &mut self,
+        event_loop: &EventLoop,
+        incarnation: u16,
+        slot: usize,
+        why: &str,
+    ) -> AcceptorEvent {
         self.slots_by_incarnation.remove(&incarnation);
         let now = event_loop.clock().now();
         let acceptor = std::mem::replace(&mut self.slots[slot], Slot::Vacant(now, MIN_RESTART_DELAY));
@@ -365,7 +371,7 @@
     }
 
     /// Sends a message for a client to the process that holds its connection.
-    pub fn reply(&mut self, event_loop: &mut Hub, key: ConnectionKey, message: &Message) {
+    pub fn reply(&mut self, event_loop: &mut EventLoop, key: ConnectionKey, message: &Message) {
         let Some(slot) = self.slots_by_incarnation.get(&incarnation(key)) else { return };
         let Slot::Running(acceptor) = &mut self.slots[*slot] else { return };
         let connection = key & ((1 << INCARNATION_SHIFT) - 1);
--- a/crates/gateway/src/workers.rs
+++ b/crates/gateway/src/workers.rs
@@ -10,7 +10,7 @@
 use cresswheel_carriers::{CarrierLimits, ConnectionPool, Payload};
 use cresswheel_engine::{AttemptEnd, Input, OrderEnd};
 use cresswheel_protocol::{ListedWorker, MemberState, Message, Micros, encode};
-use cresswheel_transport::{Connection, Hub};
+use cresswheel_transport::{Connection, EventLoop};
 use foldhash::{HashMap, HashMapExt, HashSet};
 
 /// When a connection was opened, and when something was last received on it.
@@ -53,7 +53,12 @@
 
     /// Applies a whole list or its changes. Returns the unsent attempts and orders of workers that drain or
     /// were removed, which are canceled.
-    pub fn apply_list(&mut self, event_loop: &mut Hub, whole: bool, listed: &[ListedWorker]) -> Vec<Input> {
+    pub fn apply_list(
+        &mut self,
+        event_loop: &mut EventLoop,
+        whole: bool,
+        listed: &[ListedWorker],
+    ) -> Vec<Input> {
         let mut ended = Vec::new();
         if whole {
             let listed_ids: HashSet<&str> = listed.iter().map(|worker| worker.id.as_str()).collect();
@@ -84,7 +89,7 @@
         ended
     }
 
-    fn remove(&mut self, event_loop: &mut Hub, id: &WorkerId) -> Vec<Input> {
+    fn remove(&mut self, event_loop: &mut EventLoop, id: &WorkerId) -> Vec<Input> {
         self.addresses.remove(id);
         let ended = self.pool.withdraw_all(event_loop, id);
         self.pool.mark_all_leaving(id);
@@ -94,7 +99,7 @@
     /// Sends an attempt or an order on a connection to its worker; false if no connection is available.
     pub fn dispatch(
         &mut self,
-        event_loop: &mut Hub,
+        event_loop: &mut EventLoop,
         worker: &WorkerId,
         cargo: Payload,
         message: &Message,
@@ -113,34 +118,39 @@
     }
 
     /// Sends a message that is neither an attempt nor an order, if a connection is established.
-    pub fn send_if_connected(&mut self, event_loop: &mut Hub, worker: &WorkerId, message: &Message) {
+    pub fn send_if_connected(&mut self, event_loop: &mut EventLoop, worker: &WorkerId, message: &Message) {
         self.pool.send_control(event_loop, worker, |out| encode(message, out));
     }
 
     /// Cancels an attempt if no byte of it has been sent; returns whether it was canceled.
-    pub fn cancel_unsent(&mut self, event_loop: &mut Hub, attempt: u64) -> bool {
+    pub fn cancel_unsent(&mut self, event_loop: &mut EventLoop, attempt: u64) -> bool {
         self.pool.cancel_if_unsent(event_loop, attempt)
     }
 
     /// Asks the worker to cancel an attempt.
-    pub fn cancel_attempt(&mut self, event_loop: &mut Hub, attempt: u64) {
+    pub fn cancel_attempt(&mut self, event_loop: &mut EventLoop, attempt: u64) {
         let message = Message::CancelRun { attempt };
         self.pool.cancel(event_loop, attempt, |out| encode(&message, out));
     }
 
     /// Records that a connection was established.
-    pub fn connected(&mut self, event_loop: &Hub, connection: Connection) {
+    pub fn connected(&mut self, event_loop: &EventLoop, connection: Connection) {
         self.pool.mark_established(connection);
         self.record_received(event_loop, connection);
     }
 
-    fn record_received(&mut self, event_loop: &Hub, connection: Connection) {
+    fn record_received(&mut self, event_loop: &EventLoop, connection: Connection) {
         let now = event_loop.clock().now();
         self.activity.entry(connection).and_modify(|activity| activity.last_received = now);
     }
 
     /// Handles a message of a worker; returns the engine's input for what it ends.
-    pub fn receive(&mut self, event_loop: &Hub, connection: Connection, message: Message) -> Option<Input> {
+    pub fn receive(
+        &mut self,
+        event_loop: &EventLoop,
+        connection: Connection,
+        message: Message,
+    ) -> Option<Input> {
         self.record_received(event_loop, connection);
         match message {
             Message::Ran { attempt, ending, crowd, body, origin } => {
@@ -166,7 +176,7 @@
 
     /// Completes the attempt or order of an answer and returns its number; 0 if the answer came on a
     /// connection other than the one it was sent on.
-    fn complete(&mut self, event_loop: &Hub, connection: Connection, number: u64) -> u64 {
+    fn complete(&mut self, event_loop: &EventLoop, connection: Connection, number: u64) -> u64 {
         let number = if self.pool.carries(connection, number) { number } else { 0 };
         self.pool.complete(event_loop, number);
         number
@@ -198,7 +208,7 @@
     }
 
     /// Closes connections without an attempt or order in flight for the idle timeout.
-    pub fn close_idle(&mut self, event_loop: &mut Hub) {
+    pub fn close_idle(&mut self, event_loop: &mut EventLoop) {
         self.pool.close_idle(event_loop, self.limits.idle);
     }
 }
--- a/crates/platform/src/departures.rs
+++ b/crates/platform/src/departures.rs
@@ -9,7 +9,7 @@
 
 use cresswheel::{Micros, WorkerId};
 use cresswheel_engine::{Attempt, AttemptEnd, Engine, Input, MissingEvidence, OrderEnd, SendDecision};
-use cresswheel_transport::Hub;
+use cresswheel_transport::EventLoop;
 
 use crate::hosts::{Hosts, Order};
 
@@ -82,7 +82,7 @@
     }
 
     /// Reports to the engine what was sent by the hub's last write, which ended at that time, and forgets it.
-    pub fn after_write(&mut self, at: Micros, hub: &Hub, hosts: &Hosts, engine: &mut Engine) {
+    pub fn after_write(&mut self, at: Micros, hub: &EventLoop, hosts: &Hosts, engine: &mut Engine) {
         self.pending.retain(|number, pending| {
             if matches!(pending.location, Location::Parked(_)) || hosts.is_unsent(hub, *number) {
                 return true;
@@ -100,7 +100,7 @@
     pub fn recheck(
         &mut self,
         now: Micros,
-        hub: &mut Hub,
+        hub: &mut EventLoop,
         hosts: &mut Hosts,
         engine: &mut Engine,
     ) -> Vec<Input> {
@@ -133,7 +133,7 @@
         &mut self,
         now: Micros,
         number: u64,
-        hub: &mut Hub,
+        hub: &mut EventLoop,
         hosts: &mut Hosts,
         engine: &Engine,
     ) -> Option<Input> {
@@ -169,7 +169,7 @@
         now: Micros,
         number: u64,
         what: MissingEvidence,
-        hub: &mut Hub,
+        hub: &mut EventLoop,
         hosts: &mut Hosts,
     ) -> Option<Input> {
         let pending = self.pending.get_mut(&number)?;
@@ -189,7 +189,7 @@
     }
 
     /// The item may not be sent at all: cancels it.
-    fn cancel(&mut self, number: u64, hub: &mut Hub, hosts: &mut Hosts) -> Option<Input> {
+    fn cancel(&mut self, number: u64, hub: &mut EventLoop, hosts: &mut Hosts) -> Option<Input> {
         let pending = self.pending.remove(&number)?;
         let is_parked = matches!(pending.location, Location::Parked(_));
         if !is_parked && !hosts.unqueue(hub, number) {
--- a/crates/platform/src/directory.rs
+++ b/crates/platform/src/directory.rs
@@ -21,7 +21,7 @@
     Contradictions, ListAge, ListValidator, ListValidity, ListVersion, PollTimes, REQUIRED_CONFIRMATIONS,
 };
 use cresswheel_platform_wire::directory::{self, HostList};
-use cresswheel_transport::Hub;
+use cresswheel_transport::EventLoop;
 
 /// A gateway counts as notified of an event this long after it happened (protocol).
 const NOTIFIED_WITHIN: Micros = 1_500_000;
@@ -114,7 +114,7 @@
 
     /// Switches to a directory at another address, which continues the numbering of events. Answers of the
     /// former one that are still in flight count, as the gateway is notified of their contents.
-    pub fn set_address(&mut self, hub: &mut Hub, now: Micros, address: SocketAddr) {
+    pub fn set_address(&mut self, hub: &mut EventLoop, now: Micros, address: SocketAddr) {
         if address != self.address {
             tracing::info!(%address, "another directory");
             self.address = address;
@@ -126,7 +126,7 @@
     }
 
     /// Stops sending on the socket, and keeps reading it for a while, as an answer may be in flight.
-    fn retire_socket(&mut self, hub: &mut Hub, now: Micros) {
+    fn retire_socket(&mut self, hub: &mut EventLoop, now: Micros) {
         let retired = self.socket.take().map(|number| RetiredSocket { number, until: now + ANSWER_TIMEOUT });
         self.retired.extend(retired);
         while self.retired.len() > MAX_RETIRED_SOCKETS {
@@ -165,7 +165,7 @@
     }
 
     /// Sends a query when it is due; true if it did, which changes the list's age.
-    pub fn tick(&mut self, hub: &mut Hub, now: Micros) -> bool {
+    pub fn tick(&mut self, hub: &mut EventLoop, now: Micros) -> bool {
         if now < self.next {
             return false;
         }
@@ -191,7 +191,7 @@
         true
     }
 
-    fn expire(&mut self, hub: &mut Hub, now: Micros) {
+    fn expire(&mut self, hub: &mut EventLoop, now: Micros) {
         let over = self.retired.iter().take_while(|retired| retired.until <= now).count();
         self.retired.drain(..over).for_each(|retired| hub.close_datagrams(retired.number));
         let is_over = |sent_query: &Query| sent_query.asked.saturating_add(ANSWER_TIMEOUT) <= now;
@@ -200,7 +200,7 @@
         }
     }
 
-    fn send_query(&mut self, hub: &mut Hub, now: Micros) {
+    fn send_query(&mut self, hub: &mut EventLoop, now: Micros) {
         if self.socket.is_none() {
             match hub.datagrams(self.address) {
                 Ok(socket) => self.socket = Some(socket),
--- a/crates/platform/src/directory/tests.rs
+++ b/crates/platform/src/directory/tests.rs
@@ -15,9 +15,9 @@
 }
 
 /// A directory client that knows list 5, and the socket that it queries.
-fn directory_with_list(now: Micros, grace: Micros) -> (Directory, Hub, std::net::UdpSocket) {
+fn directory_with_list(now: Micros, grace: Micros) -> (Directory, EventLoop, std::net::UdpSocket) {
     let socket = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
-    let hub = Hub::new(cresswheel_transport::HubLimits::default()).unwrap();
+    let hub = EventLoop::new(cresswheel_transport::EventLoopLimits::default()).unwrap();
     let known = HostList { serial: 5, hosts: Vec::new() };
     (Directory::new(now, socket.local_addr().unwrap(), known, 40, grace), hub, socket)
 }
@@ -93,7 +93,7 @@
 fn an_older_list_does_not_refresh_the_age_and_the_list_dates_from_the_first_of_three_queries() {
     let (mut directory, mut hub, _socket) = directory_with_list(2_000_000, 1_000_000);
     assert_eq!(directory.age().as_of, 500_000, "the configuration holds what was told by the start");
-    let ask = |directory: &mut Directory, hub: &mut Hub| {
+    let ask = |directory: &mut Directory, hub: &mut EventLoop| {
         let due = directory.next_due();
         directory.tick(hub, due);
         due
--- a/crates/platform/src/front.rs
+++ b/crates/platform/src/front.rs
@@ -8,7 +8,7 @@
     Admission, ConnectionAction, ConnectionCounts, ConnectionEvent, ConnectionLimiter, ConnectionLimits,
 };
 use cresswheel_platform_wire::client::{self as wire, ClientDecoder, Code, FromClient, Request};
-use cresswheel_transport::{Connection, Hub, Notice, slot};
+use cresswheel_transport::{Connection, EventLoop, LoopEvent, slot};
 use foldhash::{HashMap, HashMapExt, HashSet, HashSetExt};
 
 use crate::settings::REQUESTS_PER_CONNECTION;
@@ -94,7 +94,7 @@
     }
 
     /// Asks all clients to send no new requests here. Requests that arrive anyway are accepted as before.
-    pub fn drain(&mut self, hub: &mut Hub) {
+    pub fn drain(&mut self, hub: &mut EventLoop) {
         self.draining = true;
         for connection in self.connections.keys().copied() {
             hub.write(connection, None, wire::encode_leaving);
@@ -102,25 +102,25 @@
     }
 
     /// Accepts the connections in the listen queue, then stops listening.
-    pub fn stop_accepting(&mut self, hub: &mut Hub) {
+    pub fn stop_accepting(&mut self, hub: &mut EventLoop) {
         hub.accept_waiting();
         hub.stop_listening();
         self.drain(hub);
     }
 
     /// Handles notices of client connections; returns all others.
-    pub fn notice(&mut self, hub: &mut Hub, is_ready: bool, notice: Notice) -> Option<Notice> {
+    pub fn notice(&mut self, hub: &mut EventLoop, is_ready: bool, notice: LoopEvent) -> Option<LoopEvent> {
         let now = hub.clock().now();
         match notice {
-            Notice::Opened(connection, _) => self.opened(hub, connection),
-            Notice::Bytes(connection, bytes) if self.connections.contains_key(&connection) => {
+            LoopEvent::Opened(connection, _) => self.opened(hub, connection),
+            LoopEvent::Bytes(connection, bytes) if self.connections.contains_key(&connection) => {
                 self.bytes(hub, is_ready, connection, &bytes);
             }
-            Notice::Flushed(connection) if self.connections.contains_key(&connection) => {
+            LoopEvent::Flushed(connection) if self.connections.contains_key(&connection) => {
                 self.admission.on_event(now, slot(connection), ConnectionEvent::Resumed);
                 self.connections.entry(connection).and_modify(|client| client.stalled = None);
             }
-            Notice::Closed { connection, guest: true, .. } => {
+            LoopEvent::Closed { connection, is_inbound: true, .. } => {
                 // A connection rejected by admission control is closed too, and was never registered.
                 if let Some(client) = self.connections.remove(&connection) {
                     self.admission.on_closed(slot(connection));
@@ -134,7 +134,7 @@
         None
     }
 
-    fn opened(&mut self, hub: &mut Hub, connection: Connection) {
+    fn opened(&mut self, hub: &mut EventLoop, connection: Connection) {
         // It is closed already; anything it sent is processed before its end.
         if hub.peer(connection).is_none() {
             return hub.close(connection, "client already disconnected");
@@ -170,8 +170,8 @@
         }
     }
 
-    fn bytes(&mut self, hub: &mut Hub, is_ready: bool, connection: Connection, bytes: &[u8]) {
-        let (now, received) = (hub.clock().now(), hub.came());
+    fn bytes(&mut self, hub: &mut EventLoop, is_ready: bool, connection: Connection, bytes: &[u8]) {
+        let (now, received) = (hub.clock().now(), hub.arrived_at());
         let Some(client) = self.connections.get_mut(&connection) else { return };
         client.decoder.push(bytes);
         loop {
@@ -195,7 +195,7 @@
 
     fn frame(
         &mut self,
-        hub: &mut Hub,
+        hub: &mut EventLoop,
         is_ready: bool,
         connection: Connection,
         received: Micros,
@@ -250,7 +250,7 @@
     }
 
     /// Rejects a request that was never accepted: nothing ran.
-    fn reject(&mut self, hub: &mut Hub, connection: Connection, stream: u32, why: &'static str) {
+    fn reject(&mut self, hub: &mut EventLoop, connection: Connection, stream: u32, why: &'static str) {
         *self.rejected.entry(why).or_insert(0) += 1;
         hub.write(connection, None, |out| wire::encode_answer(out, stream, Code::Refused, None, &[]));
         self.check_backlog(hub, connection);
@@ -258,7 +258,7 @@
 
     /// Reports a protocol error. Pending answers are still sent. Further input is read, to see the end of the
     /// connection, but ignored.
-    fn protocol_error(&mut self, hub: &mut Hub, connection: Connection, why: &str) {
+    fn protocol_error(&mut self, hub: &mut EventLoop, connection: Connection, why: &str) {
         let Some(client) = self.connections.get_mut(&connection).filter(|client| !client.ending) else {
             return;
         };
@@ -271,7 +271,7 @@
     }
 
     /// Marks a stream as answered.
-    fn mark_answered(&mut self, hub: &mut Hub, connection: Connection, stream: u32) -> bool {
+    fn mark_answered(&mut self, hub: &mut EventLoop, connection: Connection, stream: u32) -> bool {
         let Some(client) = self.connections.get_mut(&connection) else { return false };
         let Some(id) = client.streams.remove(&stream) else { return false };
         self.ids.remove(&id);
@@ -282,7 +282,7 @@
     /// Sends the final answer of a request.
     pub fn answer(
         &mut self,
-        hub: &mut Hub,
+        hub: &mut EventLoop,
         connection: Connection,
         stream: u32,
         code: Code,
@@ -305,7 +305,7 @@
 
     /// Closes a client connection. With unanswered requests, only a client that doesn't read may be closed;
     /// any other such close is a bug, and is counted.
-    fn close(&mut self, hub: &mut Hub, connection: Connection, why: &'static str) {
+    fn close(&mut self, hub: &mut EventLoop, connection: Connection, why: &'static str) {
         tracing::debug!(connection, why, "closed");
         let owed = self
             .connections
@@ -319,7 +319,7 @@
         hub.close(connection, why);
     }
 
-    fn check_backlog(&mut self, hub: &mut Hub, connection: Connection) {
+    fn check_backlog(&mut self, hub: &mut EventLoop, connection: Connection) {
         let backlog = hub.backlog(connection);
         let Some(client) = self.connections.get_mut(&connection).filter(|_| backlog > MAX_BACKLOG) else {
             return;
@@ -330,12 +330,12 @@
             client.ending = true;
             return self.close(hub, connection, NOT_READING);
         }
-        hub.tell_flushed(connection);
+        hub.report_flushed(connection);
         self.admission.on_event(hub.clock().now(), slot(connection), ConnectionEvent::Stalled);
     }
 
     /// Handles a timeout of a connection. Input that arrived by now is processed first.
-    fn handle_timeout(&mut self, hub: &mut Hub, connection: Connection, why: &'static str) {
+    fn handle_timeout(&mut self, hub: &mut EventLoop, connection: Connection, why: &'static str) {
         let (now, slot) = (hub.clock().now(), slot(connection));
         let unread: usize = self.stalled().map(|(connection, _)| hub.backlog(connection)).sum();
         let Some(client) = self.connections.get_mut(&connection) else { return };
@@ -382,7 +382,7 @@
 
     /// Closes all connections without pending work, each once its input is processed and its output is
     /// written. True when none is left.
-    pub fn close_idle(&mut self, hub: &mut Hub) -> bool {
+    pub fn close_idle(&mut self, hub: &mut EventLoop) -> bool {
         for (connection, client) in &mut self.connections {
             if !client.ending && hub.backlog(*connection) == 0 && hub.is_quiet(*connection) {
                 client.ending = true;
@@ -393,7 +393,7 @@
     }
 
     /// Applies due admission timeouts, and pauses or resumes accepting.
-    pub fn tick(&mut self, hub: &mut Hub) {
+    pub fn tick(&mut self, hub: &mut EventLoop) {
         let now = hub.clock().now();
         while let Some(act) = self.admission.next_action(now) {
             if let ConnectionAction::Close(slot, why) = act
--- a/crates/platform/src/hosts.rs
+++ b/crates/platform/src/hosts.rs
@@ -11,7 +11,7 @@
 use cresswheel_engine::{Attempt, AttemptEnd, Input, OrderEnd};
 use cresswheel_platform_wire::host::{self, AnswerStatus, HostAnswer, HostDecoder, Invoke};
 use cresswheel_protocol::{Ending, ListedWorker, MemberState};
-use cresswheel_transport::{Connection, ENDED, Hub, Sent};
+use cresswheel_transport::{Connection, ENDED, EventLoop, Sent};
 use foldhash::{HashMap, HashMapExt};
 
 /// What an id or tag on a connection refers to.
@@ -135,7 +135,7 @@
 
     /// Applies a complete host list. Returns the ends of unsent attempts and orders to hosts that drain or
     /// were removed.
-    pub fn apply_list(&mut self, hub: &mut Hub, listed: &[ListedWorker]) -> Vec<Input> {
+    pub fn apply_list(&mut self, hub: &mut EventLoop, listed: &[ListedWorker]) -> Vec<Input> {
         let mut ended = Vec::new();
         let is_listed = |id: &WorkerId| listed.iter().any(|host| *host.id == *id.0);
         let removed: Vec<_> = self.endpoints.keys().filter(|id| !is_listed(id)).cloned().collect();
@@ -167,7 +167,7 @@
         ended
     }
 
-    fn remove_host(&mut self, hub: &mut Hub, id: &WorkerId) -> Vec<Input> {
+    fn remove_host(&mut self, hub: &mut EventLoop, id: &WorkerId) -> Vec<Input> {
         self.endpoints.remove(id);
         self.probe_requests.remove(id);
         let ended = self.withdraw_all(hub, id);
@@ -176,7 +176,7 @@
     }
 
     /// The host restarted: connections opened before that are closed, as nothing else may report their end.
-    fn close_older(&mut self, hub: &mut Hub, id: &WorkerId, started: Micros) {
+    fn close_older(&mut self, hub: &mut EventLoop, id: &WorkerId, started: Micros) {
         let older = |connection: &Connection, connection_state: &HostConnection| {
             connection_state.opened_at < started && self.carriers.worker(*connection).as_ref() == Some(id)
         };
@@ -191,7 +191,7 @@
 
     fn dispatch(
         &mut self,
-        hub: &mut Hub,
+        hub: &mut EventLoop,
         worker: &WorkerId,
         (cargo, item): (Payload, Outstanding),
         id: &str,
@@ -223,7 +223,7 @@
     }
 
     /// Sends an attempt to its host; returns how it ended if it can't be sent.
-    pub fn run(&mut self, hub: &mut Hub, attempt: &Attempt) -> Option<Input> {
+    pub fn run(&mut self, hub: &mut EventLoop, attempt: &Attempt) -> Option<Input> {
         let call = &attempt.call;
         let timeout_ms = (attempt.timeout.min(attempt.time_left) / 1_000).max(1);
         let duplicate_window = if attempt.is_repeatable {
@@ -258,7 +258,7 @@
     }
 
     /// Sends a prewarm order; returns how it ended if it can't be sent.
-    pub fn prewarm(&mut self, hub: &mut Hub, order: &Order) -> Option<Input> {
+    pub fn prewarm(&mut self, hub: &mut EventLoop, order: &Order) -> Option<Input> {
         let tag = format!("o{}", order.number);
         let tagged = (Payload::Order(order.number), Outstanding::Order(order.number));
         let frame = |out: &mut Vec<u8>| host::prewarm(out, &tag, &order.function.0, order.count);
@@ -272,12 +272,12 @@
     }
 
     /// Whether an attempt or order is queued on a connection with no byte sent.
-    pub fn is_unsent(&self, hub: &Hub, number: u64) -> bool {
+    pub fn is_unsent(&self, hub: &EventLoop, number: u64) -> bool {
         self.carriers.is_unsent(hub, number)
     }
 
     /// Whether a byte of an attempt or order was sent on a connection that is still open.
-    pub fn has_sent_bytes(&self, hub: &Hub, number: u64) -> bool {
+    pub fn has_sent_bytes(&self, hub: &EventLoop, number: u64) -> bool {
         let connection = self.in_flight.get(&number).map(|(connection, _)| *connection);
         connection.is_some_and(|connection| {
             hub.is_open(connection) && hub.sent(connection, number) != Sent::Nothing
@@ -285,7 +285,7 @@
     }
 
     /// Removes an attempt or order from its connection's queue; false if a byte was sent or it isn't queued.
-    pub fn unqueue(&mut self, hub: &mut Hub, number: u64) -> bool {
+    pub fn unqueue(&mut self, hub: &mut EventLoop, number: u64) -> bool {
         let removed = self.carriers.cancel_if_unsent(hub, number);
         if removed {
             self.discard(number);
@@ -294,7 +294,7 @@
     }
 
     /// Probes a host on an open connection, or opens one.
-    pub fn request_probe(&mut self, hub: &mut Hub, now: Micros, worker: &WorkerId) {
+    pub fn request_probe(&mut self, hub: &mut EventLoop, now: Micros, worker: &WorkerId) {
         let Some(endpoint) = self.endpoints.get(worker).copied() else { return };
         let last = self.probe_requests.get(worker).copied();
         if last.is_some_and(|last| last.saturating_add(MIN_PROBE_INTERVAL) > now) {
@@ -314,12 +314,12 @@
     }
 
     /// Sends an order to unload idle instances, if the host is connected.
-    pub fn unload(&mut self, hub: &mut Hub, worker: &WorkerId, function: &FunctionId) {
+    pub fn unload(&mut self, hub: &mut EventLoop, worker: &WorkerId, function: &FunctionId) {
         self.carriers.send_control(hub, worker, |out| host::evict(out, &function.0));
     }
 
     /// Probes a host that is connected; false if it isn't.
-    pub fn probe(&mut self, hub: &mut Hub, worker: &WorkerId) -> bool {
+    pub fn probe(&mut self, hub: &mut EventLoop, worker: &WorkerId) -> bool {
         self.next_probe += 1;
         let tag = format!("p{}", self.next_probe);
         let probed_on = self.carriers.send_control(hub, worker, |out| host::alive(out, &tag));
@@ -330,7 +330,7 @@
     }
 
     /// Cancels an attempt if its host doesn't have all of it; true if so: the host never gets the rest.
-    pub fn withdraw(&mut self, hub: &mut Hub, attempt: u64) -> bool {
+    pub fn withdraw(&mut self, hub: &mut EventLoop, attempt: u64) -> bool {
         if self.carriers.cancel_if_unsent(hub, attempt) {
             self.discard(attempt);
             return true;
@@ -340,7 +340,7 @@
 
     /// Part of the attempt was sent, and the rest would follow when the host reads on: closes the connection,
     /// unless that would break a fully sent attempt that must not run twice.
-    fn close_partial(&mut self, hub: &mut Hub, attempt: u64) -> bool {
+    fn close_partial(&mut self, hub: &mut EventLoop, attempt: u64) -> bool {
         let Some((connection, _)) = self.in_flight.get(&attempt) else { return false };
         let connection = *connection;
         if hub.sent(connection, attempt) != Sent::Part {
@@ -370,7 +370,7 @@
     }
 
     /// Cancels everything unsent for a host and returns the ends.
-    fn withdraw_all(&mut self, hub: &mut Hub, worker: &WorkerId) -> Vec<Input> {
+    fn withdraw_all(&mut self, hub: &mut EventLoop, worker: &WorkerId) -> Vec<Input> {
         let ended = self.carriers.withdraw_all(hub, worker);
         for input in &ended {
             if let Input::AttemptEnded(number, ..) | Input::OrderEnded(number, ..) = input {
@@ -391,7 +391,7 @@
     }
 
     /// Cancels an attempt, locally if possible, else with an abort command.
-    pub fn cancel(&mut self, hub: &mut Hub, attempt: u64) {
+    pub fn cancel(&mut self, hub: &mut EventLoop, attempt: u64) {
         if self.withdraw(hub, attempt) {
             return;
         }
@@ -411,7 +411,7 @@
         }
     }
 
-    pub fn connected(&mut self, hub: &Hub, connection: Connection) {
+    pub fn connected(&mut self, hub: &EventLoop, connection: Connection) {
         self.carriers.mark_established(connection);
         let now = hub.clock().now();
         self.connections_by_id
@@ -429,7 +429,7 @@
     }
 
     /// Processes bytes from a host; returns what they ended.
-    pub fn receive(&mut self, hub: &mut Hub, connection: Connection, bytes: &[u8]) -> Vec<Input> {
+    pub fn receive(&mut self, hub: &mut EventLoop, connection: Connection, bytes: &[u8]) -> Vec<Input> {
         let mut ended = Vec::new();
         let now = hub.clock().now();
         let Some(connection_state) = self.connections_by_id.get_mut(&connection) else { return ended };
@@ -478,7 +478,7 @@
     }
 
     /// Closes a connection after a malformed answer; what is in flight on it may have run.
-    fn close_malformed(&mut self, hub: &mut Hub, connection: Connection, why: &str) {
+    fn close_malformed(&mut self, hub: &mut EventLoop, connection: Connection, why: &str) {
         self.counts.malformed += 1;
         let host = self.carriers.worker(connection);
         tracing::info!(host = host.map(tracing::field::display), why, "malformed answer from host");
@@ -536,7 +536,7 @@
     }
 
     /// Closes idle connections and forgets ids to which no answer can come any more.
-    pub fn expire(&mut self, hub: &mut Hub) {
+    pub fn expire(&mut self, hub: &mut EventLoop) {
         self.carriers.close_idle(hub, self.limits.idle);
         let now = hub.clock().now();
         for connection_state in self.connections_by_id.values_mut() {
--- a/crates/platform/src/hosts/tests.rs
+++ b/crates/platform/src/hosts/tests.rs
@@ -3,7 +3,7 @@
 
 use cresswheel_engine::Call;
 use cresswheel_protocol::FunctionProfile;
-use cresswheel_transport::{HubLimits, Notice, Wire};
+use cresswheel_transport::{EventLoopLimits, LoopEvent, Wire};
 
 use super::*;
 
@@ -59,7 +59,7 @@
 fn cancellation_when_a_host_drains_or_leaves_clears_all_state() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     for after in [MemberState::Draining, MemberState::Removed] {
-        let mut hub = Hub::new(HubLimits::default()).unwrap();
+        let mut hub = EventLoop::new(EventLoopLimits::default()).unwrap();
         let mut hosts = hosts(2);
         hosts.apply_list(&mut hub, &[host(&listener, MemberState::Active)]);
         // The hub hasn't polled yet: the connection isn't established and no byte was sent.
@@ -82,7 +82,7 @@
     // More than the kernel buffers for a connection that isn't read.
     const LARGE: usize = 16 << 20;
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut hub = Hub::new(HubLimits::default()).unwrap();
+    let mut hub = EventLoop::new(EventLoopLimits::default()).unwrap();
     let mut hosts = hosts(1);
     hosts.apply_list(&mut hub, &[host(&listener, MemberState::Active)]);
     for (number, length) in [(1, 0), (2, LARGE), (3, 0)] {
@@ -97,8 +97,8 @@
     }
     assert!(hosts.withdraw(&mut hub, 2));
     let ended = loop {
-        let notice = hub.take_notice().expect("the end of the connection");
-        if let Notice::Closed { connection, never_stood, unsent, why, .. } = notice {
+        let notice = hub.next_event().expect("the end of the connection");
+        if let LoopEvent::Closed { connection, never_stood, unsent, why, .. } = notice {
             break hosts.closed(connection, never_stood, &unsent, &why);
         }
     };
@@ -118,7 +118,7 @@
 fn tags_are_matched_only_on_their_own_connection() {
     // Numbers of orders and probes restart with each process, so connections to two processes share tags.
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut hub = Hub::new(HubLimits::default()).unwrap();
+    let mut hub = EventLoop::new(EventLoopLimits::default()).unwrap();
     let mut hosts = hosts(2);
     hosts.apply_list(&mut hub, &[host(&listener, MemberState::Active)]);
     let order = Order { worker: "h".into(), number: 1, function: "7f3a9c21e0b4d655".into(), count: 1 };
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -8,7 +8,7 @@
 use cresswheel_carriers::CarrierLimits;
 use cresswheel_engine::{AdmissionLimits, EngineSettings, ResultLimits};
 use cresswheel_platform_wire::config::{Config, ConfigError};
-use cresswheel_transport::{HubLimits, Wire};
+use cresswheel_transport::{EventLoopLimits, Wire};
 use rustix::process::{Resource, getrlimit};
 
 use crate::hosts::DuplicateWindows;
@@ -50,7 +50,7 @@
     /// The engine and the decision module.
     pub engine: EngineSettings,
     /// Limits of client connections.
-    pub door: ConnectionLimits,
+    pub connection_limits: ConnectionLimits,
     /// Limits of connections to hosts.
     pub carriers: CarrierLimits,
     /// Connection limit over all hosts.
@@ -60,7 +60,7 @@
     /// Interval of the check for idle connections to hosts.
     pub idle_check: Micros,
     /// Limits of the event loop.
-    pub hub: HubLimits,
+    pub event_loop: EventLoopLimits,
     /// How long requests are accepted after TERM.
     pub accept_after_term: Micros,
     /// Deadline for open requests after TERM.
@@ -103,7 +103,7 @@
                 max_time: give_up.saturating_mul(10),
                 deferred_time: give_up,
             },
-            door: ConnectionLimits {
+            connection_limits: ConnectionLimits {
                 connections: clients,
                 accepts_per_s: 2_000,
                 evict_after: 200 * MILLISECOND,
@@ -129,7 +129,11 @@
             duplicate_windows: DuplicateWindows { unsafe_calls: give_up, others: aim },
             // Often enough that no connection is idle for as long as the host's timeout.
             idle_check: (idle_close / 10).clamp(20 * MILLISECOND, 500 * MILLISECOND),
-            hub: HubLimits { out: 1 << 20, accepted: usize::MAX, ..HubLimits::default() },
+            event_loop: EventLoopLimits {
+                max_output: 1 << 20,
+                accepted: usize::MAX,
+                ..EventLoopLimits::default()
+            },
             accept_after_term: 750 * MILLISECOND,
             stop_timeout: give_up.min(3 * SECOND) + 300 * MILLISECOND,
         })
--- a/crates/platform/src/shell.rs
+++ b/crates/platform/src/shell.rs
@@ -12,7 +12,7 @@
 use cresswheel_platform_wire::client::{Code, Request};
 use cresswheel_platform_wire::config::Config;
 use cresswheel_protocol::{MemberState, Status};
-use cresswheel_transport::{Connection, Hub, Notice, Wire, listener};
+use cresswheel_transport::{Connection, EventLoop, LoopEvent, Wire, listener};
 
 use crate::PlatformSettings;
 use crate::departures::{Item, UnsentItems};
@@ -60,7 +60,7 @@
 pub struct Platform {
     settings: PlatformSettings,
     reload: Reload,
-    hub: Hub,
+    hub: EventLoop,
     engine: Engine,
     clients: ClientConnections,
     hosts: Hosts,
@@ -83,12 +83,12 @@
         let settings = PlatformSettings::of(config)?;
         tracing::info!(
             name = settings.name,
-            clients = settings.door.connections,
+            clients = settings.connection_limits.connections,
             carriers = ?settings.carriers,
             open_calls = settings.engine.admission.open_calls,
             "starts"
         );
-        let mut hub = Hub::new(settings.hub).context("event loop")?;
+        let mut hub = EventLoop::new(settings.event_loop).context("event loop")?;
         // Before the process becomes reachable: a signal without its handler would end it.
         hub.signals(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP]).context("signals")?;
         hub.leave_within(LONG_ITERATION);
@@ -104,7 +104,7 @@
         );
         engine.limit_list_age(directory::terms(module.drain_grace, module.may_probe), directory.age());
         let mut gateway = Self {
-            clients: ClientConnections::new(now, settings.door),
+            clients: ClientConnections::new(now, settings.connection_limits),
             hosts: Hosts::new(settings.carriers, settings.host_connections, settings.duplicate_windows),
             directory,
             unsent_items: UnsentItems::default(),
@@ -150,7 +150,7 @@
             while let Some(event) = self.deferred.take() {
                 self.handle_event(event);
             }
-            while let Some(notice) = self.hub.take_notice() {
+            while let Some(notice) = self.hub.next_event() {
                 self.handle_notice(notice);
                 while let Some(event) = self.clients.take_event() {
                     self.handle_event(event);
@@ -201,7 +201,7 @@
                 break;
             }
             self.hub.hear()?;
-            while let Some(notice) = self.hub.take_notice() {
+            while let Some(notice) = self.hub.next_event() {
                 self.handle_notice(notice);
                 while let Some(event) = self.clients.take_event() {
                     if let Some(event) = self.deferred.push(event) {
@@ -261,16 +261,16 @@
             && self.engine.workers().any(|worker| worker.standing == MemberState::Active)
     }
 
-    fn handle_notice(&mut self, notice: Notice) {
+    fn handle_notice(&mut self, notice: LoopEvent) {
         let is_ready = self.is_ready();
         let Some(notice) = self.clients.notice(&mut self.hub, is_ready, notice) else { return };
         match notice {
-            Notice::Connected(connection) => self.hosts.connected(&self.hub, connection),
-            Notice::Bytes(connection, bytes) if self.hosts.is_host_connection(connection) => {
+            LoopEvent::Connected(connection) => self.hosts.connected(&self.hub, connection),
+            LoopEvent::Bytes(connection, bytes) if self.hosts.is_host_connection(connection) => {
                 let ended = self.hosts.receive(&mut self.hub, connection, &bytes);
                 ended.into_iter().for_each(|input| self.feed_engine(input));
             }
-            Notice::Closed { connection, guest: false, never_stood, unsent, why } => {
+            LoopEvent::Closed { connection, is_inbound: false, never_stood, unsent, why } => {
                 let host = self.hosts.host(connection);
                 let ended = self.hosts.closed(connection, never_stood, &unsent, &why);
                 if !ended.is_empty() {
@@ -279,7 +279,7 @@
                 }
                 ended.into_iter().for_each(|input| self.feed_engine(input));
             }
-            Notice::Datagram(socket, bytes) if self.directory.is_ours(socket) => {
+            LoopEvent::Datagram(socket, bytes) if self.directory.is_ours(socket) => {
                 let is_new = self.directory.answered(self.hub.clock().now(), &bytes);
                 self.feed_engine(Input::ListAge(self.directory.age()));
                 if is_new {
@@ -287,8 +287,8 @@
                 }
                 self.feed_engine(Input::WorkersDisputed(self.directory.disputed()));
             }
-            Notice::Signal(Signal::SIGHUP) => self.reload_configuration(),
-            Notice::Signal(signal) if self.phase == Phase::Running => {
+            LoopEvent::Signal(Signal::SIGHUP) => self.reload_configuration(),
+            LoopEvent::Signal(signal) if self.phase == Phase::Running => {
                 tracing::info!(?signal, open = self.engine.open_calls(), "stopping");
                 self.clients.drain(&mut self.hub);
                 self.phase = Phase::Draining(self.hub.clock().now());
--- a/crates/rehearsal/src/load/clients.rs
+++ b/crates/rehearsal/src/load/clients.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use cresswheel_protocol::{Ending, FunctionProfile, Message, Micros, Role, Status};
-use cresswheel_transport::{Connection, Hub, HubLimits, Notice, Wire};
+use cresswheel_transport::{Connection, EventLoop, EventLoopLimits, LoopEvent, Wire};
 use hdrhistogram::Histogram;
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::Rng;
@@ -72,7 +72,7 @@
 
 /// Clients on connections to one target.
 pub struct Clients {
-    hub: Hub,
+    hub: EventLoop,
     connections: Vec<Connection>,
     calls_worker: bool,
     /// By number of each open call: when it was due.
@@ -85,7 +85,7 @@
 impl Clients {
     /// Connects.
     pub fn new(settings: &LoadSettings, target: Target) -> anyhow::Result<Self> {
-        let mut hub = Hub::new(HubLimits::default())?;
+        let mut hub = EventLoop::new(EventLoopLimits::default())?;
         let (at, role) = match target {
             Target::Gateway(at) => (at, Role::Client),
             Target::Worker(at) => (at, Role::Gateway),
@@ -117,7 +117,7 @@
         let until = self.hub.clock().now() + time.as_micros() as Micros;
         while self.hub.clock().now() < until {
             self.hub.wait(Some(until))?;
-            while self.hub.take_notice().is_some() {}
+            while self.hub.next_event().is_some() {}
         }
         Ok(())
     }
@@ -203,7 +203,7 @@
         end: Micros,
         measured: &mut Measurement,
     ) -> anyhow::Result<()> {
-        while let Some(notice) = self.hub.take_notice() {
+        while let Some(notice) = self.hub.next_event() {
             let Some(Answered { number, served }) = answer(notice)? else { continue };
             let Some(due) = self.open.remove(&number) else { continue };
             let now = self.hub.clock().now();
@@ -222,15 +222,15 @@
 }
 
 /// The answer in a notice, if it is one. No connection may end.
-fn answer(notice: Notice) -> anyhow::Result<Option<Answered>> {
+fn answer(notice: LoopEvent) -> anyhow::Result<Option<Answered>> {
     match notice {
-        Notice::Message(_, Message::Answer { number, status, .. }) => {
+        LoopEvent::Message(_, Message::Answer { number, status, .. }) => {
             Ok(Some(Answered { number, served: status == Status::Served }))
         }
-        Notice::Message(_, Message::Ran { attempt, ending, .. }) => {
+        LoopEvent::Message(_, Message::Ran { attempt, ending, .. }) => {
             Ok(Some(Answered { number: attempt, served: ending == Ending::Ok }))
         }
-        Notice::Closed { why, .. } => anyhow::bail!("a connection ended: {why}"),
+        LoopEvent::Closed { why, .. } => anyhow::bail!("a connection ended: {why}"),
         _ => Ok(None),
     }
 }
--- a/crates/rehearsal/src/traffic.rs
+++ b/crates/rehearsal/src/traffic.rs
@@ -9,7 +9,7 @@
 
 use cresswheel_protocol::{FunctionProfile, Message, Micros, Role, Status};
 use cresswheel_standins::{RecordedEvent, Recorder, uniform};
-use cresswheel_transport::{Connection, Hub, HubLimits, Notice, Wire};
+use cresswheel_transport::{Connection, EventLoop, EventLoopLimits, LoopEvent, Wire};
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::Rng;
 
@@ -94,7 +94,7 @@
 /// The clients.
 pub struct Clients {
     scene: Scene,
-    hub: Hub,
+    hub: EventLoop,
     recorder: Recorder,
     rng: Pcg32,
     gateways: Vec<GatewayConnection>,
@@ -129,7 +129,7 @@
 impl Clients {
     /// Clients of these gateways, which write down what they see in `records`.
     pub fn new(scene: &Scene, gateways: &[SocketAddr], records: &Path) -> anyhow::Result<Self> {
-        let hub = Hub::new(HubLimits::default())?;
+        let hub = EventLoop::new(EventLoopLimits::default())?;
         let start = hub.clock().now();
         let gateway = |(n, at): (usize, &SocketAddr)| GatewayConnection {
             at: *at,
@@ -269,28 +269,28 @@
 
     fn step(&mut self, until: Option<Micros>) -> anyhow::Result<()> {
         self.hub.wait(until)?;
-        while let Some(notice) = self.hub.take_notice() {
+        while let Some(notice) = self.hub.next_event() {
             match notice {
-                Notice::Connected(connection) => {
+                LoopEvent::Connected(connection) => {
                     if let Some(gateway) = self.gateways.iter_mut().find(|d| d.connection == Some(connection))
                     {
                         gateway.is_established = true;
                         gateway.believed_up_until = Micros::MAX;
                     }
                 }
-                Notice::Closed { connection, unsent, .. } => self.closed(connection, &unsent),
-                Notice::Message(connection, Message::Probe { number }) => {
+                LoopEvent::Closed { connection, unsent, .. } => self.closed(connection, &unsent),
+                LoopEvent::Message(connection, Message::Probe { number }) => {
                     self.hub.send(connection, &Message::Probed { number, held: 0, queued: 0 }, None);
                 }
                 // One that is asked to leave does so, if it waits for nothing.
-                Notice::Message(connection, Message::GoingAway { .. })
+                LoopEvent::Message(connection, Message::GoingAway { .. })
                     if self.idle.contains_key(&connection)
                         && !self.open.values().any(|open| open.connection == connection) =>
                 {
                     self.idle.remove(&connection);
                     self.hub.close(connection, "asked to leave");
                 }
-                Notice::Message(_, message) => self.message(message),
+                LoopEvent::Message(_, message) => self.message(message),
                 _ => {}
             }
         }
--- a/crates/soak/src/clients.rs
+++ b/crates/soak/src/clients.rs
@@ -7,7 +7,7 @@
     FromGateway, decode_from_gateway, encode_request, encode_without_fields,
 };
 use cresswheel_protocol::Micros;
-use cresswheel_transport::{Connection, Hub, HubLimits, Notice, Sent, Wire};
+use cresswheel_transport::{Connection, EventLoop, EventLoopLimits, LoopEvent, Sent, Wire};
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::Rng;
 
@@ -50,7 +50,7 @@
 pub struct Clients {
     world: Arc<World>,
     gateway: usize,
-    hub: Hub,
+    hub: EventLoop,
     life: usize,
     number: u32,
     lines: BTreeMap<Connection, Line>,
@@ -64,7 +64,7 @@
 impl Clients {
     /// Clients of a gateway.
     pub fn new(world: Arc<World>, gateway: usize) -> anyhow::Result<Self> {
-        let mut hub = Hub::new(HubLimits::default())?;
+        let mut hub = EventLoop::new(EventLoopLimits::default())?;
         hub.set_clock(world.clock);
         let mut draw = Pcg32::new(world.options.seed, 9_000 + gateway as u64);
         let (lines, goings, leaving) = (BTreeMap::new(), Vec::new(), Vec::new());
@@ -90,7 +90,7 @@
             self.go(now);
             self.hub.wait(Some(next.min(now + 4 * MS)))?;
             self.stamp();
-            while let Some(notice) = self.hub.take_notice() {
+            while let Some(notice) = self.hub.next_event() {
                 self.notice(notice);
             }
         }
@@ -213,10 +213,10 @@
         });
     }
 
-    fn notice(&mut self, notice: Notice) {
+    fn notice(&mut self, notice: LoopEvent) {
         let now = self.world.clock.now();
         match notice {
-            Notice::Closed { connection, never_stood, unsent, .. } => {
+            LoopEvent::Closed { connection, never_stood, unsent, .. } => {
                 self.leaving.retain(|leaving| leaving.connection != connection);
                 let Some(line) = self.lines.remove(&connection) else { return };
                 for id in line.open.into_values() {
@@ -227,13 +227,13 @@
                     }
                 }
             }
-            Notice::Bytes(connection, bytes) => self.bytes(connection, &bytes),
+            LoopEvent::Bytes(connection, bytes) => self.bytes(connection, &bytes),
             _ => {}
         }
     }
 
     fn bytes(&mut self, connection: Connection, bytes: &[u8]) {
-        let came = self.hub.came();
+        let came = self.hub.arrived_at();
         let Some(line) = self.lines.get_mut(&connection) else { return };
         line.held.extend_from_slice(bytes);
         let (mut ended, mut further) = (Vec::new(), Vec::new());
--- a/crates/soak/src/crowd.rs
+++ b/crates/soak/src/crowd.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use cresswheel_protocol::Micros;
-use cresswheel_transport::{Connection, Hub, HubLimits, Notice, Wire};
+use cresswheel_transport::{Connection, EventLoop, EventLoopLimits, LoopEvent, Wire};
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::Rng;
 
@@ -22,7 +22,7 @@
 pub struct Crowd {
     world: Arc<World>,
     gateway: usize,
-    hub: Hub,
+    hub: EventLoop,
     open: HashSet<Connection>,
     /// When those come that are not there.
     comes: Vec<Micros>,
@@ -32,7 +32,7 @@
 impl Crowd {
     /// One that comes as soon as its gateway takes connections.
     pub fn new(world: Arc<World>, gateway: usize) -> anyhow::Result<Self> {
-        let mut hub = Hub::new(HubLimits::default())?;
+        let mut hub = EventLoop::new(EventLoopLimits::default())?;
         hub.set_clock(world.clock);
         let mut draw = Pcg32::new(world.options.seed, 13_000 + gateway as u64);
         let start = world.start;
@@ -50,8 +50,8 @@
                 (0..due).for_each(|_| self.come(address));
             }
             self.hub.wait(Some(now + 10 * MS))?;
-            while let Some(notice) = self.hub.take_notice() {
-                if let Notice::Closed { connection, .. } = notice
+            while let Some(notice) = self.hub.next_event() {
+                if let LoopEvent::Closed { connection, .. } = notice
                     && self.open.remove(&connection)
                 {
                     let again = COMES_AGAIN + u64::from(self.draw.next_u32()) % COMES_AGAIN;
--- a/crates/soak/src/hosts.rs
+++ b/crates/soak/src/hosts.rs
@@ -6,7 +6,7 @@
 
 use cresswheel_platform_wire::host::{decode_command, encode_answer};
 use cresswheel_protocol::{ListedWorker, MemberState, Micros};
-use cresswheel_transport::{Connection, Hub, HubLimits, Notice, Wire};
+use cresswheel_transport::{Connection, EventLoop, EventLoopLimits, LoopEvent, Wire};
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::Rng;
 
@@ -37,7 +37,7 @@
     generation: u32,
     port: ReservedPort,
     listed: ListedWorker,
-    hub: Hub,
+    hub: EventLoop,
     held: HashMap<Connection, Vec<u8>>,
     answers: Vec<Answer>,
     draw: Pcg32,
@@ -49,7 +49,7 @@
 impl Place {
     /// The first host at a place.
     pub fn new(world: Arc<World>, number: usize) -> anyhow::Result<Self> {
-        let mut hub = Hub::new(HubLimits::default())?;
+        let mut hub = EventLoop::new(EventLoopLimits::default())?;
         hub.set_clock(world.clock);
         let port = ReservedPort::any()?;
         hub.listen(port.address(), Wire::Raw)?;
@@ -85,7 +85,7 @@
             }
             self.answer(now);
             self.hub.wait(Some(now + LOOK))?;
-            while let Some(notice) = self.hub.take_notice() {
+            while let Some(notice) = self.hub.next_event() {
                 self.notice(notice);
             }
         }
@@ -130,20 +130,20 @@
         Ok(())
     }
 
-    fn notice(&mut self, notice: Notice) {
+    fn notice(&mut self, notice: LoopEvent) {
         match notice {
-            Notice::Opened(connection, _) => _ = self.held.insert(connection, Vec::new()),
-            Notice::Closed { connection, .. } => {
+            LoopEvent::Opened(connection, _) => _ = self.held.insert(connection, Vec::new()),
+            LoopEvent::Closed { connection, .. } => {
                 self.held.remove(&connection);
                 self.answers.retain(|answer| answer.connection != connection);
             }
-            Notice::Bytes(connection, bytes) => self.bytes(connection, &bytes),
+            LoopEvent::Bytes(connection, bytes) => self.bytes(connection, &bytes),
             _ => {}
         }
     }
 
     fn bytes(&mut self, connection: Connection, bytes: &[u8]) {
-        let came = self.hub.came();
+        let came = self.hub.arrived_at();
         let Some(mut held) = self.held.remove(&connection) else { return };
         held.extend_from_slice(bytes);
         loop {
--- a/crates/standins/src/echo.rs
+++ b/crates/standins/src/echo.rs
@@ -7,13 +7,13 @@
 use std::path::Path;
 
 use cresswheel_protocol::{Ending, Message, Role, Status};
-use cresswheel_transport::{Connection, Hub, HubLimits, Notice, Wire};
+use cresswheel_transport::{Connection, EventLoop, EventLoopLimits, LoopEvent, Wire};
 
 use crate::records::{RecordedEvent, Recorder};
 
 /// A worker that answers every call immediately, or never.
 pub struct Echo {
-    hub: Hub,
+    hub: EventLoop,
     address: SocketAddr,
     silent: bool,
     recorder: Recorder,
@@ -23,7 +23,7 @@
     /// Starts listening. A silent worker answers only prewarm orders. Calls are recorded in the folder
     /// `records`.
     pub fn start(at: SocketAddr, silent: bool, records: Option<&Path>) -> io::Result<Self> {
-        let mut hub = Hub::new(HubLimits::default())?;
+        let mut hub = EventLoop::new(EventLoopLimits::default())?;
         let (_, address) = hub.listen(at, Wire::Frames)?;
         Ok(Self { hub, address, silent, recorder: Recorder::new(records, "echo")? })
     }
@@ -38,8 +38,8 @@
         loop {
             self.recorder.flush();
             self.hub.wait(None)?;
-            while let Some(notice) = self.hub.take_notice() {
-                let Notice::Message(connection, message) = notice else { continue };
+            while let Some(notice) = self.hub.next_event() {
+                let LoopEvent::Message(connection, message) = notice else { continue };
                 match message {
                     Message::Run { attempt, body, trace, class, function, .. } if !self.silent => {
                         let at = self.hub.clock().now();
@@ -75,7 +75,7 @@
 
 /// A gateway without an engine: it forwards each call to a single worker.
 pub struct Relay {
-    hub: Hub,
+    hub: EventLoop,
     address: SocketAddr,
     to: SocketAddr,
     worker: Option<Connection>,
@@ -86,7 +86,7 @@
 impl Relay {
     /// Starts listening; calls are forwarded to `to`.
     pub fn start(at: SocketAddr, to: SocketAddr) -> io::Result<Self> {
-        let mut hub = Hub::new(HubLimits::default())?;
+        let mut hub = EventLoop::new(EventLoopLimits::default())?;
         let (_, address) = hub.listen(at, Wire::Frames)?;
         Ok(Self { hub, address, to, worker: None, open: HashMap::new(), last_attempt: 0 })
     }
@@ -100,13 +100,13 @@
     pub fn run(&mut self) -> io::Result<()> {
         loop {
             self.hub.wait(None)?;
-            while let Some(notice) = self.hub.take_notice() {
+            while let Some(notice) = self.hub.next_event() {
                 let keep_running = match notice {
-                    Notice::Closed { connection, .. } => {
+                    LoopEvent::Closed { connection, .. } => {
                         self.worker = self.worker.filter(|worker| *worker != connection);
                         true
                     }
-                    Notice::Message(connection, message) => self.message(connection, message),
+                    LoopEvent::Message(connection, message) => self.message(connection, message),
                     _ => true,
                 };
                 if !keep_running {
--- a/crates/standins/src/link.rs
+++ b/crates/standins/src/link.rs
@@ -5,14 +5,14 @@
 use std::net::SocketAddr;
 
 use cresswheel_protocol::Micros;
-use cresswheel_transport::{Connection, Hub, HubLimits, Notice, Wire};
+use cresswheel_transport::{Connection, EventLoop, EventLoopLimits, LoopEvent, Wire};
 
 /// Start and end of a cut, and the time of a reset.
 type Plan = (Option<(Micros, Micros)>, Option<Micros>);
 
 /// A TCP relay from its own address to another one.
 pub struct Link {
-    hub: Hub,
+    hub: EventLoop,
     address: SocketAddr,
     to: SocketAddr,
     delay: Micros,
@@ -29,7 +29,7 @@
 impl Link {
     /// Starts listening; received bytes are forwarded to `to` after `delay`.
     pub fn start(at: SocketAddr, to: SocketAddr, delay: Micros) -> io::Result<Self> {
-        let mut hub = Hub::new(HubLimits::default())?;
+        let mut hub = EventLoop::new(EventLoopLimits::default())?;
         let (_, address) = hub.listen(at, Wire::Raw)?;
         let (peers, delayed) = (HashMap::new(), VecDeque::new());
         let (planned, cut, reset) = (None, (0, 0), None);
@@ -66,20 +66,20 @@
             let cut = (self.cut.0..self.cut.1).contains(&now);
             let delayed = self.delayed.front().map(|(at, ..)| if cut { self.cut.1 } else { *at });
             self.hub.wait([Some(end), delayed, self.reset].into_iter().flatten().min())?;
-            while let Some(notice) = self.hub.take_notice() {
+            while let Some(notice) = self.hub.next_event() {
                 match notice {
-                    Notice::Opened(connection, _) => {
+                    LoopEvent::Opened(connection, _) => {
                         let upstream = self.hub.connect(self.to, Wire::Raw, 1_000_000);
                         self.peers.insert(connection, upstream);
                         self.peers.insert(upstream, connection);
                     }
-                    Notice::Bytes(connection, bytes) => {
+                    LoopEvent::Bytes(connection, bytes) => {
                         self.start_plan();
                         if let Some(other) = self.peers.get(&connection) {
                             self.delayed.push_back((self.hub.clock().now() + self.delay, *other, bytes));
                         }
                     }
-                    Notice::Closed { connection, .. } => {
+                    LoopEvent::Closed { connection, .. } => {
                         if let Some(other) = self.peers.remove(&connection) {
                             self.peers.remove(&other);
                             self.hub.finish(other);
--- a/crates/standins/src/list.rs
+++ b/crates/standins/src/list.rs
@@ -7,13 +7,13 @@
 use std::path::Path;
 
 use cresswheel_protocol::{ListedWorker, MemberState, Message, Micros};
-use cresswheel_transport::{Connection, Hub, HubLimits, Notice, Wire};
+use cresswheel_transport::{Connection, EventLoop, EventLoopLimits, LoopEvent, Wire};
 
 use crate::records::{RecordedEvent, Recorder};
 
 /// A process of the worker list service.
 pub struct WorkerList {
-    hub: Hub,
+    hub: EventLoop,
     address: SocketAddr,
     recorder: Recorder,
     entries: BTreeMap<String, ListedWorker>,
@@ -35,7 +35,7 @@
     /// Starts listening. Changes are published after `delay`; a worker whose connection ended is removed
     /// after `notice`.
     pub fn start(at: SocketAddr, records: Option<&Path>, delay: Micros, notice: Micros) -> io::Result<Self> {
-        let mut hub = Hub::new(HubLimits::default())?;
+        let mut hub = EventLoop::new(EventLoopLimits::default())?;
         let (_, address) = hub.listen(at, Wire::Frames)?;
         Ok(Self {
             hub,
@@ -64,10 +64,10 @@
             let due = self.changes.iter().map(|(at, _)| *at).min().map(|at| at.max(self.frozen_until));
             self.recorder.flush();
             self.hub.wait(due)?;
-            while let Some(notice) = self.hub.take_notice() {
+            while let Some(notice) = self.hub.next_event() {
                 let keep_running = match notice {
-                    Notice::Message(connection, message) => self.message(connection, message),
-                    Notice::Closed { connection, .. } => {
+                    LoopEvent::Message(connection, message) => self.message(connection, message),
+                    LoopEvent::Closed { connection, .. } => {
                         self.closed(connection);
                         true
                     }
--- a/crates/standins/src/store.rs
+++ b/crates/standins/src/store.rs
@@ -6,11 +6,11 @@
 use std::net::SocketAddr;
 
 use cresswheel_protocol::{Message, Micros};
-use cresswheel_transport::{Connection, Hub, HubLimits, Notice, Wire};
+use cresswheel_transport::{Connection, EventLoop, EventLoopLimits, LoopEvent, Wire};
 
 /// A model store process.
 pub struct Store {
-    hub: Hub,
+    hub: EventLoop,
     address: SocketAddr,
     /// Concurrent fetches that are served at full speed.
     capacity: usize,
@@ -25,7 +25,7 @@
 impl Store {
     /// Starts listening.
     pub fn start(at: SocketAddr, capacity: usize, max_fetches: usize) -> io::Result<Self> {
-        let mut hub = Hub::new(HubLimits::default())?;
+        let mut hub = EventLoop::new(EventLoopLimits::default())?;
         let (_, address) = hub.listen(at, Wire::Frames)?;
         Ok(Self {
             hub,
@@ -47,8 +47,8 @@
     pub fn run(&mut self) -> io::Result<()> {
         loop {
             self.hub.wait(self.fetches.first().map(|(at, ..)| *at))?;
-            while let Some(notice) = self.hub.take_notice() {
-                let Notice::Message(connection, message) = notice else { continue };
+            while let Some(notice) = self.hub.next_event() {
+                let LoopEvent::Message(connection, message) = notice else { continue };
                 let now = self.hub.clock().now();
                 match message {
                     Message::Fetch { number, time, function } => {
--- a/crates/standins/src/worker.rs
+++ b/crates/standins/src/worker.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use cresswheel_protocol::{Ending, ListedWorker, MemberState, Message, Micros, Origin, Role};
-use cresswheel_transport::{Connection, Hub, HubLimits, Notice, Wire};
+use cresswheel_transport::{Connection, EventLoop, EventLoopLimits, LoopEvent, Wire};
 use rand_pcg::Pcg32;
 use sha2::{Digest, Sha256};
 
@@ -61,7 +61,7 @@
 /// A worker process.
 pub struct Worker {
     settings: WorkerSettings,
-    hub: Hub,
+    hub: EventLoop,
     address: SocketAddr,
     started: Micros,
     model: Model,
@@ -92,8 +92,8 @@
 impl Worker {
     /// Starts listening.
     pub fn start(mut settings: WorkerSettings) -> io::Result<Self> {
-        let limits = HubLimits { out: 256 << 20, ..HubLimits::default() };
-        let mut hub = Hub::new(limits)?;
+        let limits = EventLoopLimits { max_output: 256 << 20, ..EventLoopLimits::default() };
+        let mut hub = EventLoop::new(limits)?;
         let (_, address) = hub.listen(settings.listen, Wire::Frames)?;
         if settings.id.is_empty() {
             settings.id = address.to_string();
@@ -162,7 +162,7 @@
             if let Some(ms) = self.paused.take() {
                 std::thread::sleep(Duration::from_millis(ms));
             }
-            while let Some(notice) = self.hub.take_notice() {
+            while let Some(notice) = self.hub.next_event() {
                 if !self.notice(notice) {
                     self.recorder.flush();
                     return Ok(());
@@ -216,10 +216,10 @@
     }
 
     /// Handles a notice. Returns false when the process is to end.
-    fn notice(&mut self, notice: Notice) -> bool {
+    fn notice(&mut self, notice: LoopEvent) -> bool {
         match notice {
-            Notice::Message(connection, message) => return self.message(connection, message),
-            Notice::Closed { connection, .. } => {
+            LoopEvent::Message(connection, message) => return self.message(connection, message),
+            LoopEvent::Closed { connection, .. } => {
                 self.gateways.remove(&connection);
                 if self.list == Some(connection) {
                     self.list = None;
--- a/crates/transport/src/hub.rs
+++ b/crates/transport/src/hub.rs
@@ -8,7 +8,7 @@
 
 use calloop::generic::Generic;
 use calloop::signals::{Signal, Signals};
-use calloop::{EventLoop, Interest, LoopHandle, Mode, PostAction, RegistrationToken};
+use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
 use cresswheel_protocol::{Decoder, Limits, Message, Micros, encode, http};
 use slab::Slab;
 use socket2::Socket;
@@ -41,21 +41,21 @@
 
 /// Limits of a hub.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct HubLimits {
+pub struct EventLoopLimits {
     /// Limits of frames.
     pub frame: Limits,
     /// Limits of HTTP requests.
     pub http: http::Limits,
     /// Maximum output backlog of a connection, in bytes; beyond it the connection is closed.
-    pub out: usize,
+    pub max_output: usize,
     /// Maximum number of accepted connections; further ones are closed at once.
     pub accepted: usize,
 }
 
-impl Default for HubLimits {
+impl Default for EventLoopLimits {
     fn default() -> Self {
         let (frame, http) = (Limits::default(), http::Limits::default());
-        Self { frame, http, out: 64 << 20, accepted: 10_000 }
+        Self { frame, http, max_output: 64 << 20, accepted: 10_000 }
     }
 }
 
@@ -72,7 +72,7 @@
 
 /// An event.
 #[derive(Debug)]
-pub enum Notice {
+pub enum LoopEvent {
     /// A listener (by the number that `listen` returned) accepted a connection.
     Opened(Connection, u32),
     /// A connection opened by this side is established.
@@ -87,7 +87,7 @@
     BadRequest(Connection, http::HttpError),
     /// Bytes were received, and this many are buffered of an incomplete frame or request. Reported only for
     /// accepted connections, and only if enabled with [`Hub::tell_halves`].
-    Half(Connection, usize),
+    PartialMessage(Connection, usize),
     /// The output backlog of a paused connection, or of one marked by [`Hub::tell_flushed`], is written.
     Flushed(Connection),
     /// A connection ended, or could not be established.
@@ -95,7 +95,7 @@
         /// The connection.
         connection: Connection,
         /// Whether it was accepted by a listener.
-        guest: bool,
+        is_inbound: bool,
         /// Whether it was never established.
         never_stood: bool,
         /// Marks of the frames of which no byte was sent.
@@ -181,7 +181,7 @@
         PollInterest { read: self.wants_input(), write: !self.writable, end }
     }
 
-    fn active(&mut self, limits: &HubLimits) -> &mut ActiveState {
+    fn active(&mut self, limits: &EventLoopLimits) -> &mut ActiveState {
         self.active.get_or_insert_with(|| {
             let decode = match self.wire {
                 Wire::Frames => Decode::Frames(Decoder::new(limits.frame)),
@@ -255,10 +255,10 @@
 }
 
 /// Listeners, connections and the loop that drives them.
-pub struct Hub {
-    event_loop: EventLoop<'static, ReceivedSignals>,
+pub struct EventLoop {
+    event_loop: calloop::EventLoop<'static, ReceivedSignals>,
     handle: LoopHandle<'static, ReceivedSignals>,
-    limits: HubLimits,
+    limits: EventLoopLimits,
     clock: Clock,
     conns: Slab<Conn>,
     serial: u32,
@@ -289,7 +289,7 @@
     last_write: Micros,
     /// Deadlines of connecting and lingering connections.
     deadlines: BTreeSet<(Micros, Connection)>,
-    notices: VecDeque<(Micros, Notice)>,
+    notices: VecDeque<(Micros, LoopEvent)>,
     notice_arrival: Micros,
     poll_events: Vec<(Micros, PollEvent)>,
     scratch: Vec<u8>,
@@ -304,14 +304,14 @@
     handle.insert_source(source, |_, _, _| Ok(PostAction::Continue)).map_err(|e| io::Error::other(e.error))
 }
 
-impl Hub {
+impl EventLoop {
     /// Creates a hub without connections.
-    pub fn new(limits: HubLimits) -> io::Result<Self> {
+    pub fn new(limits: EventLoopLimits) -> io::Result<Self> {
         Self::with_clock(limits, Clock::default())
     }
 
-    fn with_clock(limits: HubLimits, clock: Clock) -> io::Result<Self> {
-        let event_loop = EventLoop::try_new().map_err(io::Error::other)?;
+    fn with_clock(limits: EventLoopLimits, clock: Clock) -> io::Result<Self> {
+        let event_loop = calloop::EventLoop::try_new().map_err(io::Error::other)?;
         let handle = event_loop.handle();
         let now = clock.now();
         let (accepted_poller, own_poller) = (Poller::new(now)?, Poller::new(now)?);
@@ -365,7 +365,7 @@
     }
 
     /// Changes the limits; partly read frames keep the old ones.
-    pub fn set_limits(&mut self, limits: HubLimits) {
+    pub fn set_limits(&mut self, limits: EventLoopLimits) {
         self.limits = limits;
     }
 
@@ -388,13 +388,13 @@
     }
 
     /// Enables [`Notice::Half`].
-    pub fn tell_halves(&mut self) {
+    pub fn report_partial_messages(&mut self) {
         self.report_incomplete = true;
     }
 
     /// Leaves all accepted and new connections waiting in the kernel, or resumes them. Output to them waits
     /// too, unless it can be written at once.
-    pub fn hold_guests(&mut self, paused: bool) {
+    pub fn pause_inbound(&mut self, paused: bool) {
         if self.accepted_paused == paused {
             return;
         }
@@ -451,7 +451,13 @@
             Err(error) => {
                 let connection = connection_id(self.next_serial(), (1 << SLOT_BITS) - 1);
                 let (unsent, why) = (Vec::new(), error.to_string());
-                self.notify(Notice::Closed { connection, guest: false, never_stood: true, unsent, why });
+                self.notify(LoopEvent::Closed {
+                    connection,
+                    is_inbound: false,
+                    never_stood: true,
+                    unsent,
+                    why,
+                });
                 connection
             }
         }
@@ -516,11 +522,11 @@
         self.conns.get(slot(id)).filter(|c| connection_id(c.serial, slot(id)) == id)
     }
 
-    fn notify(&mut self, notice: Notice) {
+    fn notify(&mut self, notice: LoopEvent) {
         self.notify_since(self.clock.now(), notice);
     }
 
-    fn notify_since(&mut self, since: Micros, notice: Notice) {
+    fn notify_since(&mut self, since: Micros, notice: LoopEvent) {
         self.notices.push_back((since, notice));
     }
 
@@ -554,7 +560,7 @@
     }
 
     /// Whether a frame or request is partly received.
-    pub fn midway(&self, id: Connection) -> bool {
+    pub fn has_partial_message(&self, id: Connection) -> bool {
         self.buffered_bytes(id) > 0
     }
 
@@ -586,7 +592,7 @@
         let Some(conn) = self.get_mut(id).filter(|c| !c.close_when_flushed) else { return false };
         let out = &mut conn.active(&limits).out;
         out.push(mark, write);
-        if out.len() > limits.out {
+        if out.len() > limits.max_output {
             self.close(id, "too much waits to be written");
             return false;
         }
@@ -595,7 +601,7 @@
     }
 
     /// Withdraws a marked frame if no byte of it was sent.
-    pub fn withdraw(&mut self, id: Connection, mark: u64) -> bool {
+    pub fn cancel_unsent(&mut self, id: Connection, mark: u64) -> bool {
         self.get_mut(id).and_then(|conn| conn.active.as_mut()).is_some_and(|active| active.out.withdraw(mark))
     }
 
@@ -619,7 +625,7 @@
 
     /// Requests [`Notice::Flushed`] once the output backlog of a connection is written, whether it is paused
     /// or not.
-    pub fn tell_flushed(&mut self, id: Connection) {
+    pub fn report_flushed(&mut self, id: Connection) {
         self.get_mut(id).into_iter().for_each(|conn| conn.notify_flushed = true);
     }
 
@@ -628,11 +634,14 @@
     pub fn is_quiet(&mut self, id: Connection) -> bool {
         self.get_mut(id).into_iter().for_each(|conn| conn.readable = true);
         self.read_available(id);
-        let concerns = |notice: &Notice| match notice {
-            Notice::Message(of, _) | Notice::Bytes(of, _) | Notice::Request(of, _) => *of == id,
-            Notice::BadRequest(of, _) | Notice::Closed { connection: of, .. } => *of == id,
-            Notice::Opened(..) | Notice::Connected(_) | Notice::Half(..) | Notice::Flushed(_) => false,
-            Notice::Datagram(..) | Notice::Signal(_) => false,
+        let concerns = |notice: &LoopEvent| match notice {
+            LoopEvent::Message(of, _) | LoopEvent::Bytes(of, _) | LoopEvent::Request(of, _) => *of == id,
+            LoopEvent::BadRequest(of, _) | LoopEvent::Closed { connection: of, .. } => *of == id,
+            LoopEvent::Opened(..)
+            | LoopEvent::Connected(_)
+            | LoopEvent::PartialMessage(..)
+            | LoopEvent::Flushed(_) => false,
+            LoopEvent::Datagram(..) | LoopEvent::Signal(_) => false,
         };
         !self.notices.iter().any(|(_, notice)| concerns(notice))
     }
@@ -660,7 +669,7 @@
         }
         let unsent = conn.active.map_or_else(Vec::new, |active| active.out.unsent());
         let (guest, never_stood, why) = (conn.accepted, conn.connecting, why.to_owned());
-        self.notify(Notice::Closed { connection: id, guest, never_stood, unsent, why });
+        self.notify(LoopEvent::Closed { connection: id, is_inbound: guest, never_stood, unsent, why });
     }
 
     /// Writes pending output, then waits for events, until `until` at the latest.
@@ -691,7 +700,7 @@
             }
             let woke = self.clock.now();
             self.last_event_loop = woke;
-            received_signals.signals.into_iter().for_each(|signal| self.notify(Notice::Signal(signal)));
+            received_signals.signals.into_iter().for_each(|signal| self.notify(LoopEvent::Signal(signal)));
             let was_paused = until.is_some_and(|at| at.max(now).saturating_add(PAUSE_THRESHOLD) < woke);
             if found == 0 && !busy && !was_paused {
                 self.own_poller.idle_until(woke);
@@ -823,7 +832,7 @@
     }
 
     /// The next event.
-    pub fn take_notice(&mut self) -> Option<Notice> {
+    pub fn next_event(&mut self) -> Option<LoopEvent> {
         let (since, notice) = self.notices.pop_front()?;
         self.notice_arrival = since;
         Some(notice)
@@ -831,7 +840,7 @@
 
     /// The earliest time at which the bytes behind the last taken notice can have arrived at this machine: a
     /// busy program, or one that pauses accepted connections, reads them later.
-    pub fn came(&self) -> Micros {
+    pub fn arrived_at(&self) -> Micros {
         self.notice_arrival
     }
 
@@ -884,7 +893,7 @@
                         conn.connecting = false;
                         let due = conn.active.as_mut().and_then(|active| active.deadline.take());
                         due.into_iter().for_each(|due| _ = self.deadlines.remove(&(due, id)));
-                        self.notify(Notice::Connected(id));
+                        self.notify(LoopEvent::Connected(id));
                         continue;
                     }
                     Ok(None) => conn.writable = false,
@@ -917,7 +926,7 @@
                 Ok(count) => {
                     active.out.advance(count);
                     if conn.unsent() == 0 && (std::mem::take(&mut conn.notify_flushed) || conn.paused) {
-                        self.notify(Notice::Flushed(id));
+                        self.notify(LoopEvent::Flushed(id));
                     }
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => conn.writable = false,
@@ -973,7 +982,7 @@
         if came && self.report_incomplete && self.get_ref(id).is_some_and(|conn| conn.accepted) {
             match self.buffered_bytes(id) {
                 0 => {}
-                held => self.notify(Notice::Half(id, held)),
+                held => self.notify(LoopEvent::PartialMessage(id, held)),
             }
         }
         if self.get_mut(id).is_some_and(|conn| conn.can_read()) {
@@ -988,10 +997,10 @@
             let Some(active) = conn.active.as_mut() else { return };
             let notice = match &mut active.decode {
                 Decode::Raw(bytes) if bytes.is_empty() => return,
-                Decode::Raw(bytes) => Notice::Bytes(id, std::mem::take(bytes)),
+                Decode::Raw(bytes) => LoopEvent::Bytes(id, std::mem::take(bytes)),
                 Decode::Frames(decoder) => match decoder.decode() {
                     Ok(None) => return,
-                    Ok(Some(message)) => Notice::Message(id, message),
+                    Ok(Some(message)) => LoopEvent::Message(id, message),
                     Err(error) => {
                         let reason = error.to_string();
                         tracing::info!(%reason, connection = id, "malformed frame");
@@ -1005,10 +1014,10 @@
                         self.send_bytes(id, http::CONTINUE);
                         continue;
                     }
-                    Ok(http::Step::Request(request)) => Notice::Request(id, request),
+                    Ok(http::Step::Request(request)) => LoopEvent::Request(id, request),
                     Err(error) => {
                         conn.paused = true;
-                        Notice::BadRequest(id, error)
+                        LoopEvent::BadRequest(id, error)
                     }
                 },
             };
--- a/crates/transport/src/hub/datagrams.rs
+++ b/crates/transport/src/hub/datagrams.rs
@@ -3,12 +3,12 @@
 use std::io::{self, ErrorKind};
 use std::net::{SocketAddr, UdpSocket};
 
-use super::{Hub, Notice};
+use super::{EventLoop, LoopEvent};
 
 /// Maximum datagrams read at once, to keep an iteration short.
 const DATAGRAMS_AT_ONCE: usize = 16;
 
-impl Hub {
+impl EventLoop {
     /// Opens a datagram socket to a peer; returns the number that its notices carry.
     pub fn datagrams(&mut self, peer: SocketAddr) -> io::Result<usize> {
         let any: SocketAddr = if peer.is_ipv4() { ([0; 4], 0).into() } else { ([0; 16], 0).into() };
@@ -42,7 +42,7 @@
         for _ in 0..DATAGRAMS_AT_ONCE {
             let Some(socket) = self.datagrams.get(number) else { return };
             match socket.recv(&mut self.scratch) {
-                Ok(count) => self.notify(Notice::Datagram(number, self.scratch[..count].to_vec())),
+                Ok(count) => self.notify(LoopEvent::Datagram(number, self.scratch[..count].to_vec())),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
                 // The peer's port was closed: no more than a loss.
                 Err(error) => tracing::debug!(%error, "cannot receive a datagram"),
--- a/crates/transport/src/hub/listeners.rs
+++ b/crates/transport/src/hub/listeners.rs
@@ -8,7 +8,7 @@
 use rustix::net::SocketFlags;
 use socket2::Socket;
 
-use super::{Hub, Notice, Wire};
+use super::{EventLoop, LoopEvent, Wire};
 
 /// Maximum connections accepted at once, to keep an iteration short.
 pub(super) const ACCEPT_AT_ONCE: usize = 64;
@@ -44,7 +44,7 @@
     Ok(socket)
 }
 
-impl Hub {
+impl EventLoop {
     /// Listens; returns the listener's number and its address, with the port chosen for port 0.
     pub fn listen(&mut self, address: SocketAddr, wire: Wire) -> io::Result<(u32, SocketAddr)> {
         let socket = listener(address)?;
@@ -149,7 +149,7 @@
                         self.accepted += 1;
                         // The connection may have waited in the listen queue, and its first bytes with it.
                         self.get_mut(id).into_iter().for_each(|conn| conn.earliest_arrival = since);
-                        self.notify(Notice::Opened(id, number as u32));
+                        self.notify(LoopEvent::Opened(id, number as u32));
                     }
                     Err(error) => tracing::warn!(%error, "cannot register an accepted connection"),
                 },
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -20,5 +20,5 @@
 mod watch;
 
 pub use clock::Clock;
-pub use hub::{Connection, ENDED, Hub, HubLimits, Notice, Wire, listener, slot};
+pub use hub::{Connection, ENDED, EventLoop, EventLoopLimits, LoopEvent, Wire, listener, slot};
 pub use out::Sent;
--- a/crates/transport/tests/hub.rs
+++ b/crates/transport/tests/hub.rs
@@ -5,13 +5,13 @@
 use std::time::Duration;
 
 use cresswheel_protocol::{Limits, Message, encode};
-use cresswheel_transport::{Hub, HubLimits, Notice, Sent, Wire};
+use cresswheel_transport::{EventLoop, EventLoopLimits, LoopEvent, Sent, Wire};
 
 /// The next notice, within ten seconds.
-fn next(hub: &mut Hub) -> Notice {
+fn next(hub: &mut EventLoop) -> LoopEvent {
     let end = hub.clock().now() + 10_000_000;
     loop {
-        if let Some(notice) = hub.take_notice() {
+        if let Some(notice) = hub.next_event() {
             return notice;
         }
         assert!(hub.clock().now() < end, "nothing happened");
@@ -26,12 +26,12 @@
 #[test]
 fn a_failed_connect_returns_all_frames_as_unsent() {
     let closed = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let mut hub = Hub::new(HubLimits::default()).unwrap();
+    let mut hub = EventLoop::new(EventLoopLimits::default()).unwrap();
     let connection = hub.connect(closed, Wire::Frames, 1_000_000);
     (1..=3).for_each(|mark| assert!(hub.send(connection, &probe(mark), Some(mark))));
-    assert!(hub.withdraw(connection, 2));
+    assert!(hub.cancel_unsent(connection, 2));
     match next(&mut hub) {
-        Notice::Closed { connection: which, never_stood: true, unsent, .. } => {
+        LoopEvent::Closed { connection: which, never_stood: true, unsent, .. } => {
             assert_eq!((which, unsent), (connection, vec![1, 3]));
         }
         other => panic!("{other:?}"),
@@ -42,7 +42,7 @@
 #[test]
 fn a_connection_reset_at_once_counts_as_established_and_returns_its_frames() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut hub = Hub::new(HubLimits::default()).unwrap();
+    let mut hub = EventLoop::new(EventLoopLimits::default()).unwrap();
     let connection = hub.connect(listener.local_addr().unwrap(), Wire::Frames, 1_000_000);
     hub.send(connection, &probe(1), Some(1));
     // The hub hasn't polled yet: it learns of the connection and of its end at once.
@@ -50,7 +50,7 @@
     socket2::SockRef::from(&peer).set_linger(Some(Duration::ZERO)).unwrap();
     drop(peer);
     match next(&mut hub) {
-        Notice::Closed { connection: which, never_stood: false, unsent, .. } => {
+        LoopEvent::Closed { connection: which, never_stood: false, unsent, .. } => {
             assert_eq!((which, unsent), (connection, vec![1]));
         }
         other => panic!("{other:?}"),
@@ -60,42 +60,42 @@
 #[test]
 fn a_connection_established_in_time_survives_a_late_poll() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut hub = Hub::new(HubLimits::default()).unwrap();
+    let mut hub = EventLoop::new(EventLoopLimits::default()).unwrap();
     let connection = hub.connect(listener.local_addr().unwrap(), Wire::Frames, 50_000);
     let _peer = listener.accept().unwrap();
     std::thread::sleep(Duration::from_millis(100));
-    assert!(matches!(next(&mut hub), Notice::Connected(c) if c == connection));
+    assert!(matches!(next(&mut hub), LoopEvent::Connected(c) if c == connection));
 }
 
 #[test]
 fn output_is_written_only_after_client_input_was_read() {
-    let mut hub = Hub::new(HubLimits::default()).unwrap();
+    let mut hub = EventLoop::new(EventLoopLimits::default()).unwrap();
     let worker = TcpListener::bind("127.0.0.1:0").unwrap();
     let (_, address) = hub.listen("127.0.0.1:0".parse().unwrap(), Wire::Frames).unwrap();
     let own = hub.connect(worker.local_addr().unwrap(), Wire::Frames, 1_000_000);
     let mut client = TcpStream::connect(address).unwrap();
-    let Notice::Opened(id, _) = next(&mut hub) else { panic!("a guest") };
+    let LoopEvent::Opened(id, _) = next(&mut hub) else { panic!("a guest") };
     let mut bytes = Vec::new();
     encode(&probe(1), &mut bytes);
     client.write_all(&bytes).unwrap();
     // The client sends a request, output for a worker is queued, and the worker's connection is established;
     // all in one iteration.
-    while !matches!(next(&mut hub), Notice::Message(..)) {}
+    while !matches!(next(&mut hub), LoopEvent::Message(..)) {}
     assert!(hub.send(own, &probe(2), Some(2)));
     assert!(!hub.is_behind(10_000_000), "all was read just now");
     std::thread::sleep(Duration::from_millis(60));
     drop(client);
     assert!(hub.is_behind(50_000), "the last look was long ago");
     hub.hear().unwrap();
-    assert!(matches!(hub.take_notice(), Some(Notice::Closed { connection, .. }) if connection == id));
+    assert!(matches!(hub.next_event(), Some(LoopEvent::Closed { connection, .. }) if connection == id));
     assert!(!hub.is_behind(50_000));
     assert_eq!(hub.sent(own, 2), Sent::Nothing);
-    assert!(hub.withdraw(own, 2), "listening writes nothing");
+    assert!(hub.cancel_unsent(own, 2), "listening writes nothing");
 }
 
 #[test]
 fn after_a_long_iteration_input_is_delivered_before_output_is_written() {
-    let mut hub = Hub::new(HubLimits::default()).unwrap();
+    let mut hub = EventLoop::new(EventLoopLimits::default()).unwrap();
     hub.leave_within(50_000);
     let worker = TcpListener::bind("127.0.0.1:0").unwrap();
     let service = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
@@ -103,14 +103,14 @@
     let socket = hub.datagrams(service.local_addr().unwrap()).unwrap();
     hub.send_datagram(socket, b"?");
     let (_, query_address) = service.recv_from(&mut [0]).unwrap();
-    assert!(matches!(next(&mut hub), Notice::Connected(which) if which == own));
+    assert!(matches!(next(&mut hub), LoopEvent::Connected(which) if which == own));
     assert!(hub.send(own, &probe(1), Some(1)));
     // The rest of the iteration is long, and a datagram arrives meanwhile.
     service.send_to(b"news", query_address).unwrap();
     std::thread::sleep(Duration::from_millis(60));
     hub.wait(Some(0)).unwrap();
     assert!(
-        matches!(hub.take_notice(), Some(Notice::Datagram(of, bytes)) if of == socket && bytes == b"news")
+        matches!(hub.next_event(), Some(LoopEvent::Datagram(of, bytes)) if of == socket && bytes == b"news")
     );
     assert_eq!(hub.sent(own, 1), Sent::Nothing, "what was begun can still be taken back");
     hub.wait(Some(0)).unwrap();
@@ -126,7 +126,7 @@
 
 #[test]
 fn a_datagram_is_sent_although_an_earlier_one_failed() {
-    let mut hub = Hub::new(HubLimits::default()).unwrap();
+    let mut hub = EventLoop::new(EventLoopLimits::default()).unwrap();
     let address = std::net::UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let socket = hub.datagrams(address).unwrap();
     // The port is closed: the system reports it with the next datagram.
@@ -142,24 +142,24 @@
 
 #[test]
 fn hearing_reads_datagrams_and_writes_nothing() {
-    let mut hub = Hub::new(HubLimits::default()).unwrap();
+    let mut hub = EventLoop::new(EventLoopLimits::default()).unwrap();
     let service = std::net::UdpSocket::bind("127.0.0.1:0").unwrap();
     let socket = hub.datagrams(service.local_addr().unwrap()).unwrap();
     hub.send_datagram(socket, b"?");
     let (_, query_address) = service.recv_from(&mut [0]).unwrap();
     service.send_to(b"news", query_address).unwrap();
     hub.hear().unwrap();
-    assert!(matches!(hub.take_notice(), Some(Notice::Datagram(of, _)) if of == socket));
+    assert!(matches!(hub.next_event(), Some(LoopEvent::Datagram(of, _)) if of == socket));
 }
 
 #[test]
 fn sent_frames_are_not_returned_as_unsent() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut hub = Hub::new(HubLimits::default()).unwrap();
+    let mut hub = EventLoop::new(EventLoopLimits::default()).unwrap();
     let connection = hub.connect(listener.local_addr().unwrap(), Wire::Frames, 1_000_000);
     hub.send(connection, &probe(1), Some(1));
     let (mut peer, _) = listener.accept().unwrap();
-    assert!(matches!(next(&mut hub), Notice::Connected(c) if c == connection));
+    assert!(matches!(next(&mut hub), LoopEvent::Connected(c) if c == connection));
     let mut header = [0; 6];
     while hub.backlog(connection) > 0 {
         hub.wait(Some(0)).unwrap();
@@ -167,68 +167,71 @@
     peer.read_exact(&mut header).unwrap();
     drop(peer);
     match next(&mut hub) {
-        Notice::Closed { never_stood: false, unsent, .. } => assert!(unsent.is_empty()),
+        LoopEvent::Closed { never_stood: false, unsent, .. } => assert!(unsent.is_empty()),
         other => panic!("{other:?}"),
     }
 }
 
 #[test]
 fn the_last_message_before_an_end_is_not_lost() {
-    let mut hub = Hub::new(HubLimits::default()).unwrap();
+    let mut hub = EventLoop::new(EventLoopLimits::default()).unwrap();
     let (_, at) = hub.listen("127.0.0.1:0".parse().unwrap(), Wire::Frames).unwrap();
     let mut peer = TcpStream::connect(at).unwrap();
     let mut bytes = Vec::new();
     encode(&probe(7), &mut bytes);
     peer.write_all(&bytes).unwrap();
     drop(peer);
-    assert!(matches!(next(&mut hub), Notice::Opened(..)));
-    assert!(matches!(next(&mut hub), Notice::Message(_, Message::Probe { number: 7 })));
-    assert!(matches!(next(&mut hub), Notice::Closed { .. }));
+    assert!(matches!(next(&mut hub), LoopEvent::Opened(..)));
+    assert!(matches!(next(&mut hub), LoopEvent::Message(_, Message::Probe { number: 7 })));
+    assert!(matches!(next(&mut hub), LoopEvent::Closed { .. }));
     assert_eq!(hub.connections(), 0);
 }
 
 #[test]
 fn a_paused_connection_is_not_read_and_its_end_is_seen() {
-    let mut hub = Hub::new(HubLimits { frame: Limits { frame: 1 << 20 }, ..HubLimits::default() }).unwrap();
+    let mut hub =
+        EventLoop::new(EventLoopLimits { frame: Limits { frame: 1 << 20 }, ..EventLoopLimits::default() })
+            .unwrap();
     let (_, at) = hub.listen("127.0.0.1:0".parse().unwrap(), Wire::Frames).unwrap();
     let mut peer = TcpStream::connect(at).unwrap();
-    let Notice::Opened(connection, _) = next(&mut hub) else { panic!() };
+    let LoopEvent::Opened(connection, _) = next(&mut hub) else { panic!() };
     hub.pause(connection, true);
     let mut bytes = Vec::new();
     encode(&probe(1), &mut bytes);
     peer.write_all(&bytes).unwrap();
     for _ in 0..20 {
         hub.wait(Some(hub.clock().now() + 1_000)).unwrap();
-        assert!(hub.take_notice().is_none());
+        assert!(hub.next_event().is_none());
     }
     hub.pause(connection, false);
-    assert!(matches!(next(&mut hub), Notice::Message(..)));
+    assert!(matches!(next(&mut hub), LoopEvent::Message(..)));
 }
 
 #[test]
 fn connections_beyond_the_limit_are_closed_and_others_stay() {
-    let mut hub = Hub::new(HubLimits { accepted: 2, ..HubLimits::default() }).unwrap();
+    let mut hub = EventLoop::new(EventLoopLimits { accepted: 2, ..EventLoopLimits::default() }).unwrap();
     let (_, at) = hub.listen("127.0.0.1:0".parse().unwrap(), Wire::Frames).unwrap();
     let mut peers: Vec<TcpStream> = (0..3).map(|_| TcpStream::connect(at).unwrap()).collect();
-    assert!(matches!(next(&mut hub), Notice::Opened(..)));
-    assert!(matches!(next(&mut hub), Notice::Opened(..)));
+    assert!(matches!(next(&mut hub), LoopEvent::Opened(..)));
+    assert!(matches!(next(&mut hub), LoopEvent::Opened(..)));
     while hub.turned_away == 0 {
         hub.wait(Some(hub.clock().now() + 10_000)).unwrap();
     }
     peers[2].set_read_timeout(Some(Duration::from_secs(10))).unwrap();
     assert!(matches!(peers[2].read(&mut [0; 1]), Ok(0) | Err(_)));
     peers.remove(0);
-    assert!(matches!(next(&mut hub), Notice::Closed { .. }));
+    assert!(matches!(next(&mut hub), LoopEvent::Closed { .. }));
     let _next = TcpStream::connect(at).unwrap();
-    assert!(matches!(next(&mut hub), Notice::Opened(..)));
+    assert!(matches!(next(&mut hub), LoopEvent::Opened(..)));
 }
 
 #[test]
 fn a_peer_that_never_reads_is_closed_at_the_backlog_limit() {
-    let mut hub = Hub::new(HubLimits { out: 1 << 20, ..HubLimits::default() }).unwrap();
+    let mut hub =
+        EventLoop::new(EventLoopLimits { max_output: 1 << 20, ..EventLoopLimits::default() }).unwrap();
     let (_, at) = hub.listen("127.0.0.1:0".parse().unwrap(), Wire::Frames).unwrap();
     let _peer = TcpStream::connect(at).unwrap();
-    let Notice::Opened(connection, _) = next(&mut hub) else { panic!() };
+    let LoopEvent::Opened(connection, _) = next(&mut hub) else { panic!() };
     let bulky = Message::Answer {
         number: 1,
         status: cresswheel_protocol::Status::Served,
@@ -243,7 +246,7 @@
         sent += 1;
         assert!(sent < 10_000, "the kernel takes no gigabyte");
     }
-    assert!(matches!(next(&mut hub), Notice::Closed { why, .. } if why == "too much waits to be written"));
+    assert!(matches!(next(&mut hub), LoopEvent::Closed { why, .. } if why == "too much waits to be written"));
 }
 
 fn send(peer: &mut impl Write, message: &Message) {
@@ -255,7 +258,7 @@
 /// The arrival time reported to a delayed reader is never later than the write.
 #[test]
 fn a_delayed_message_carries_its_earliest_arrival_time() {
-    let mut hub = Hub::new(HubLimits::default()).unwrap();
+    let mut hub = EventLoop::new(EventLoopLimits::default()).unwrap();
     let (_, at) = hub.listen("127.0.0.1:0".parse().unwrap(), Wire::Frames).unwrap();
     // While it waits in the listen queue.
     hub.pause_listening(true);
@@ -265,20 +268,20 @@
     send(&mut peer, &probe(1));
     std::thread::sleep(Duration::from_millis(60));
     hub.pause_listening(false);
-    let Notice::Opened(connection, _) = next(&mut hub) else { panic!() };
-    assert!(matches!(next(&mut hub), Notice::Message(_, Message::Probe { number: 1 })));
-    assert!(hub.came() <= written, "{} after it was written", hub.came() - written);
+    let LoopEvent::Opened(connection, _) = next(&mut hub) else { panic!() };
+    assert!(matches!(next(&mut hub), LoopEvent::Message(_, Message::Probe { number: 1 })));
+    assert!(hub.arrived_at() <= written, "{} after it was written", hub.arrived_at() - written);
     // While accepted connections are paused.
-    hub.hold_guests(true);
+    hub.pause_inbound(true);
     let written = hub.clock().now();
     send(&mut peer, &probe(2));
     for _ in 0..6 {
         hub.wait(Some(hub.clock().now() + 10_000)).unwrap();
-        assert!(hub.take_notice().is_none(), "held");
+        assert!(hub.next_event().is_none(), "held");
     }
-    hub.hold_guests(false);
-    assert!(matches!(next(&mut hub), Notice::Message(_, Message::Probe { number: 2 })));
-    assert!(hub.came() <= written, "{} after it was written", hub.came() - written);
+    hub.pause_inbound(false);
+    assert!(matches!(next(&mut hub), LoopEvent::Message(_, Message::Probe { number: 2 })));
+    assert!(hub.arrived_at() <= written, "{} after it was written", hub.arrived_at() - written);
     // While it is paused.
     hub.pause(connection, true);
     hub.wait(Some(0)).unwrap();
@@ -288,44 +291,48 @@
         hub.wait(Some(hub.clock().now() + 10_000)).unwrap();
     }
     hub.pause(connection, false);
-    assert!(matches!(next(&mut hub), Notice::Message(_, Message::Probe { number: 3 })));
-    assert!(hub.came() <= written, "{} after it was written", hub.came() - written);
+    assert!(matches!(next(&mut hub), LoopEvent::Message(_, Message::Probe { number: 3 })));
+    assert!(hub.arrived_at() <= written, "{} after it was written", hub.arrived_at() - written);
     // While the program is busy; and not before the last poll, or all requests would be rejected.
     let before = hub.clock().now();
     hub.wait(Some(0)).unwrap();
     let written = hub.clock().now();
     send(&mut peer, &probe(4));
     std::thread::sleep(Duration::from_millis(60));
-    assert!(matches!(next(&mut hub), Notice::Message(_, Message::Probe { number: 4 })));
-    assert!((before..=written).contains(&hub.came()), "{} not in {before}..={written}", hub.came());
+    assert!(matches!(next(&mut hub), LoopEvent::Message(_, Message::Probe { number: 4 })));
+    assert!(
+        (before..=written).contains(&hub.arrived_at()),
+        "{} not in {before}..={written}",
+        hub.arrived_at()
+    );
 }
 
 #[test]
 fn incomplete_messages_are_reported_if_enabled_and_unix_sockets_work() {
-    let mut hub = Hub::new(HubLimits::default()).unwrap();
-    hub.tell_halves();
+    let mut hub = EventLoop::new(EventLoopLimits::default()).unwrap();
+    hub.report_partial_messages();
     let (_, at) = hub.listen("127.0.0.1:0".parse().unwrap(), Wire::Frames).unwrap();
     let (mut other, ours) = std::os::unix::net::UnixStream::pair().unwrap();
     let trunk = hub.adopt(ours.into(), Wire::Frames).unwrap();
     send(&mut other, &probe(5));
-    assert!(matches!(next(&mut hub), Notice::Message(c, Message::Probe { number: 5 }) if c == trunk));
+    assert!(matches!(next(&mut hub), LoopEvent::Message(c, Message::Probe { number: 5 }) if c == trunk));
     // Incomplete messages of own connections are not reported.
     other.write_all(&[0, 0, 0]).unwrap();
     let mut client = TcpStream::connect(at).unwrap();
-    let Notice::Opened(connection, _) = next(&mut hub) else { panic!() };
+    let LoopEvent::Opened(connection, _) = next(&mut hub) else { panic!() };
     client.write_all(&[0, 0, 0]).unwrap();
-    assert!(matches!(next(&mut hub), Notice::Half(c, 3) if c == connection));
-    assert!(hub.midway(connection));
+    assert!(matches!(next(&mut hub), LoopEvent::PartialMessage(c, 3) if c == connection));
+    assert!(hub.has_partial_message(connection));
     drop(other);
-    assert!(matches!(next(&mut hub), Notice::Closed { guest: false, never_stood: false, .. }));
+    assert!(matches!(next(&mut hub), LoopEvent::Closed { is_inbound: false, never_stood: false, .. }));
 }
 
 /// A client connection to a new hub, as seen by both sides.
-fn client() -> (Hub, TcpStream, u64) {
-    let mut hub = Hub::new(HubLimits::default()).unwrap();
+fn client() -> (EventLoop, TcpStream, u64) {
+    let mut hub = EventLoop::new(EventLoopLimits::default()).unwrap();
     let (_, at) = hub.listen("127.0.0.1:0".parse().unwrap(), Wire::Frames).unwrap();
     let peer = TcpStream::connect(at).unwrap();
-    let Notice::Opened(connection, _) = next(&mut hub) else { panic!() };
+    let LoopEvent::Opened(connection, _) = next(&mut hub) else { panic!() };
     (hub, peer, connection)
 }
 
@@ -333,28 +340,28 @@
 fn the_end_of_an_accepted_connection_is_reported_while_they_are_paused() {
     let (mut hub, mut peer, connection) = client();
     let mut other = TcpStream::connect(peer.peer_addr().unwrap()).unwrap();
-    let Notice::Opened(..) = next(&mut hub) else { panic!() };
-    hub.hold_guests(true);
+    let LoopEvent::Opened(..) = next(&mut hub) else { panic!() };
+    hub.pause_inbound(true);
     send(&mut other, &probe(1));
     send(&mut peer, &probe(2));
     peer.shutdown(std::net::Shutdown::Write).unwrap();
     let mut seen = Vec::new();
     for _ in 0..200 {
         hub.wait(Some(hub.clock().now() + 5_000)).unwrap();
-        seen.extend(std::iter::from_fn(|| hub.take_notice()));
+        seen.extend(std::iter::from_fn(|| hub.next_event()));
         if seen.len() == 2 {
             break;
         }
     }
     assert!(
         matches!(seen[..], [
-        Notice::Message(from, Message::Probe { number: 2 }),
-        Notice::Closed { connection: gone, .. }
+        LoopEvent::Message(from, Message::Probe { number: 2 }),
+        LoopEvent::Closed { connection: gone, .. }
     ] if from == connection && gone == connection),
         "{seen:?}"
     );
-    hub.hold_guests(false);
-    assert!(matches!(next(&mut hub), Notice::Message(_, Message::Probe { number: 1 })));
+    hub.pause_inbound(false);
+    assert!(matches!(next(&mut hub), LoopEvent::Message(_, Message::Probe { number: 1 })));
 }
 
 #[test]
@@ -365,8 +372,8 @@
     peer.shutdown(std::net::Shutdown::Write).unwrap();
     for _ in 0..200 {
         hub.wait(Some(hub.clock().now() + 5_000)).unwrap();
-        if let Some(notice) = hub.take_notice() {
-            assert!(matches!(notice, Notice::Closed { connection: gone, .. } if gone == connection));
+        if let Some(notice) = hub.next_event() {
+            assert!(matches!(notice, LoopEvent::Closed { connection: gone, .. } if gone == connection));
             return;
         }
     }
