--- a/crates/cli/tests/peers/mod.rs
+++ b/crates/cli/tests/peers/mod.rs
@@ -153,8 +153,7 @@
                         }
                         None => current,
                     };
-                    let bytes =
-                        encode_host_entries(query_id, serial, &hosts, start_ms.load(Ordering::SeqCst));
+                    let bytes = encode_hosts(query_id, serial, &hosts, start_ms.load(Ordering::SeqCst));
                     send_after(&socket, from, bytes, Duration::from_millis(delay.load(Ordering::SeqCst)));
                 }
             }
@@ -225,12 +224,7 @@
     });
 }
 
-pub fn encode_host_entries(
-    id: u16,
-    serial: u32,
-    hosts: &[(String, SocketAddr, u16)],
-    start_ms: u64,
-) -> Vec<u8> {
+pub fn encode_hosts(id: u16, serial: u32, hosts: &[(String, SocketAddr, u16)], start_ms: u64) -> Vec<u8> {
     let listed = hosts.iter().map(|(id, address, priority)| ListedWorker {
         id: id.clone(),
         address: address.to_string(),
--- a/crates/engine/src/list_evidence/tests.rs
+++ b/crates/engine/src/list_evidence/tests.rs
@@ -32,7 +32,7 @@
 }
 
 fn exchange(polled_at: Micros) -> PollTimes {
-    PollTimes { polled_at: polled_at, received_at: polled_at + 1 }
+    PollTimes { polled_at, received_at: polled_at + 1 }
 }
 
 /// The accepted list is as old as the poll of that time, and was not replaced.
--- a/crates/transport/src/hub.rs
+++ b/crates/transport/src/hub.rs
@@ -8,7 +8,7 @@
 
 use calloop::generic::Generic;
 use calloop::signals::{Signal, Signals};
-use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
+use calloop::{EventLoop as PollLoop, Interest, LoopHandle, Mode, PostAction, RegistrationToken};
 use cresswheel_protocol::{Decoder, Limits, Message, Micros, encode, http};
 use slab::Slab;
 use socket2::Socket;
@@ -256,7 +256,7 @@
 
 /// Listeners, connections and the loop that drives them.
 pub struct EventLoop {
-    event_loop: calloop::EventLoop<'static, ReceivedSignals>,
+    event_loop: PollLoop<'static, ReceivedSignals>,
     handle: LoopHandle<'static, ReceivedSignals>,
     limits: EventLoopLimits,
     clock: Clock,
@@ -311,7 +311,7 @@
     }
 
     fn with_clock(limits: EventLoopLimits, clock: Clock) -> io::Result<Self> {
-        let event_loop = calloop::EventLoop::try_new().map_err(io::Error::other)?;
+        let event_loop = PollLoop::try_new().map_err(io::Error::other)?;
         let handle = event_loop.handle();
         let now = clock.now();
         let (accepted_poller, own_poller) = (Poller::new(now)?, Poller::new(now)?);
