--- a/crates/admission/src/door.rs
+++ b/crates/admission/src/door.rs
@@ -719,7 +719,7 @@
         Some(ConnectionAction::AskToLeave(slot))
     }
 
-    /// The earliest time at which [`Door::act`] may return an action.
+    /// The earliest time at which [`ConnectionLimiter::next_action`] may return an action.
     pub fn next_due(&self, now: Micros) -> Option<Micros> {
         let queues = [IDLE_HTTP, PINGED, ASKED_TO_LEAVE, PARTIAL, STALLED, NEVER_ANSWERED];
         let timers = queues.into_iter().filter_map(|queue| self.timers.first(queue).map(|(_, due)| due));
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,10 +1,10 @@
-//! Admission control of a gateway, free of I/O: connections ([`Door`]), calls ([`Intake`]) and file
-//! descriptors ([`Budget`]).
+//! Admission control of a gateway, free of I/O: connections ([`ConnectionLimiter`]), calls ([`CallQueue`]) and file
+//! descriptors ([`DescriptorBudget`]).
 //!
-//! - [`Door`] decides for each connection whether it may stay: connection limit, shares of addresses and
+//! - [`ConnectionLimiter`] decides for each connection whether it may stay: connection limit, shares of addresses and
 //!   tenants, idle timeouts, partial messages, clients that do not read, pings, draining. An idle connection
 //!   costs it 32 bytes, and 16 more once its slot has held a partial message.
-//! - [`Intake`] queues calls that arrive faster than they can be started: it orders them, and rejects some
+//! - [`CallQueue`] queues calls that arrive faster than they can be started: it orders them, and rejects some
 //!   with a retry time of their own.
 //! - [`TimerQueues`] keeps all timers of connections; [`TokenBucket`] is the only rate limit.
 //!
--- a/crates/clients/src/lib.rs
+++ b/crates/clients/src/lib.rs
@@ -2,8 +2,8 @@
 //! answers. The same code runs in the gateway's process and in *acceptor processes*, which only hold client
 //! connections, for when one process can't have enough descriptors.
 //!
-//! [`Clients`] takes the notices of an event loop and returns [`Ask`]s; it is given replies, each a message
-//! for one connection. [`cresswheel_admission::Door`] decides which connections are accepted and which are
+//! [`Clients`] takes the notices of an event loop and returns [`ClientRequest`]s; it is given replies, each a message
+//! for one connection. [`cresswheel_admission::ConnectionLimiter`] decides which connections are accepted and which are
 //! closed. Requests are handled, and answers made, by the gateway.
 //!
 //! An acceptor process speaks the main protocol with its gateway over a socket pair, the *trunk*: `Of` names
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -291,7 +291,7 @@
     }
 
     /// Records that the first byte of an attempt or order was sent. Returns the rule that this violates, if
-    /// any; the check is independent of [`Self::may_leave`].
+    /// any; the check is independent of [`Self::may_send`].
     pub fn record_sent(&mut self, now: Micros, number: u64) -> Option<&'static str> {
         let (worker, deadline) = match (self.attempts_in_flight.get(&number), self.orders.get(&number)) {
             (Some(in_flight), _) => {
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -11,7 +11,7 @@
 //! - each `Action::Send` of the dispatcher gets one `Event::Ended`, each `Hold` one `Event::Held`;
 //! - only [`AttemptEnd::outcome`] decides whether an attempt provably never ran;
 //! - only `departure` decides whether an attempt or order may still be sent;
-//! - only [`ListEvidence`] decides which responses of the list service are accepted;
+//! - only [`ListValidator`] decides which responses of the list service are accepted;
 //! - the same inputs give the same outputs.
 
 mod admission;
--- a/crates/platform-wire/src/directory.rs
+++ b/crates/platform-wire/src/directory.rs
@@ -88,7 +88,7 @@
     bytes.first_chunk::<2>().map(|id| u16::from_be_bytes(*id))
 }
 
-/// Decodes an answer to [`query`]; the caller checks its message id.
+/// Decodes an answer to [`encode_query`]; the caller checks its message id.
 pub fn decode_answer(bytes: &[u8]) -> Result<HostList, DirectoryError> {
     let message = Message::from_vec(bytes).map_err(invalid_message)?;
     let service = service()?;
--- a/crates/platform/src/directory.rs
+++ b/crates/platform/src/directory.rs
@@ -7,7 +7,7 @@
 //! notified of its contents.
 //!
 //! An answer may be stale, from this directory process or from an earlier one, which numbered its events
-//! independently. [`ListEvidence`] decides which answers to believe; while they disagree the directory is
+//! independently. [`ListValidator`] decides which answers to believe; while they disagree the directory is
 //! queried more often.
 //!
 //! The engine is given the age of the list ([`Directory::age`]), from which it derives how long the list may
--- a/crates/transport/src/hub.rs
+++ b/crates/transport/src/hub.rs
@@ -86,9 +86,9 @@
     /// Malformed bytes were received; answer and close.
     BadRequest(Connection, http::HttpError),
     /// Bytes were received, and this many are buffered of an incomplete frame or request. Reported only for
-    /// accepted connections, and only if enabled with [`Hub::tell_halves`].
+    /// accepted connections, and only if enabled with [`EventLoop::report_partial_messages`].
     PartialMessage(Connection, usize),
-    /// The output backlog of a paused connection, or of one marked by [`Hub::tell_flushed`], is written.
+    /// The output backlog of a paused connection, or of one marked by [`EventLoop::report_flushed`], is written.
     Flushed(Connection),
     /// A connection ended, or could not be established.
     Closed {
@@ -103,7 +103,7 @@
         /// The reason, as text.
         why: String,
     },
-    /// A datagram was received on this socket ([`Hub::datagrams`]).
+    /// A datagram was received on this socket ([`EventLoop::datagrams`]).
     Datagram(usize, Vec<u8>),
     /// A signal was received.
     Signal(Signal),
@@ -381,13 +381,13 @@
 
     /// Limits output on own connections to `span` after the last poll of the sockets: after a longer
     /// iteration, or a pause of the process, the program first receives what happened meanwhile. At most one
-    /// call of [`Hub::wait`] in a row holds output back, so a program whose iterations are all longer makes
+    /// call of [`EventLoop::wait`] in a row holds output back, so a program whose iterations are all longer makes
     /// progress.
     pub fn leave_within(&mut self, span: Micros) {
         self.write_window = Some(span);
     }
 
-    /// Enables [`Notice::Half`].
+    /// Enables [`LoopEvent::PartialMessage`].
     pub fn report_partial_messages(&mut self) {
         self.report_incomplete = true;
     }
@@ -414,7 +414,7 @@
         self.connect_from(None, address, wire, within)
     }
 
-    /// Like [`Hub::connect`], from a given local address.
+    /// Like [`EventLoop::connect`], from a given local address.
     pub fn connect_from(
         &mut self,
         from: Option<SocketAddr>,
@@ -575,7 +575,7 @@
         }
     }
 
-    /// Sends a message; [`Hub::sent`] tells by the mark whether it was sent. False if the connection is
+    /// Sends a message; [`EventLoop::sent`] tells by the mark whether it was sent. False if the connection is
     /// closed.
     pub fn send(&mut self, id: Connection, message: &Message, mark: Option<u64>) -> bool {
         self.write(id, mark, |buffer| encode(message, buffer))
@@ -586,7 +586,7 @@
         self.write(id, None, |buffer| buffer.extend_from_slice(bytes))
     }
 
-    /// Sends the output of `write` as one frame; [`Hub::sent`] tells by the mark whether it was sent.
+    /// Sends the output of `write` as one frame; [`EventLoop::sent`] tells by the mark whether it was sent.
     pub fn write(&mut self, id: Connection, mark: Option<u64>, write: impl FnOnce(&mut Vec<u8>)) -> bool {
         let limits = self.limits;
         let Some(conn) = self.get_mut(id).filter(|c| !c.close_when_flushed) else { return false };
@@ -623,7 +623,7 @@
         }
     }
 
-    /// Requests [`Notice::Flushed`] once the output backlog of a connection is written, whether it is paused
+    /// Requests [`LoopEvent::Flushed`] once the output backlog of a connection is written, whether it is paused
     /// or not.
     pub fn report_flushed(&mut self, id: Connection) {
         self.get_mut(id).into_iter().for_each(|conn| conn.notify_flushed = true);
@@ -675,7 +675,7 @@
     /// Writes pending output, then waits for events, until `until` at the latest.
     ///
     /// Output that becomes possible on own connections meanwhile is written by the next call: before that,
-    /// the program sees what its clients sent and may withdraw unsent frames. See [`Hub::leave_within`].
+    /// the program sees what its clients sent and may withdraw unsent frames. See [`EventLoop::leave_within`].
     pub fn wait(&mut self, until: Option<Micros>) -> io::Result<()> {
         let scope = self.write_scope();
         self.process_ready(scope);
@@ -737,8 +737,8 @@
         Ok(())
     }
 
-    /// The latest time at which [`Hub::wait`] can have written to own connections. With
-    /// [`Hub::leave_within`], a process that is paused within an iteration writes nothing to them afterwards.
+    /// The latest time at which [`EventLoop::wait`] can have written to own connections. With
+    /// [`EventLoop::leave_within`], a process that is paused within an iteration writes nothing to them afterwards.
     pub fn wrote(&self) -> Micros {
         self.last_write
     }
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,12 +1,12 @@
 //! Connections on non-blocking sockets, driven by calloop, as used by gateways, stand-ins and clients.
 //!
-//! A [`Hub`] owns listeners and connections. [`Hub::wait`] blocks until an event or a timeout;
-//! [`Hub::take_notice`] then returns the events one by one as [`Notice`]s. The hub makes no decisions: what
+//! A [`EventLoop`] owns listeners and connections. [`EventLoop::wait`] blocks until an event or a timeout;
+//! [`EventLoop::next_event`] then returns the events one by one as [`LoopEvent`]s. The hub makes no decisions: what
 //! to send, when to pause reading and what a closed connection means is up to the program.
 //!
 //! Guarantees:
 //! - no connection can exceed its buffer limits or delay another;
-//! - the notice of a closed connection names the marked frames that were never sent ([`Notice::Closed`]):
+//! - the notice of a closed connection names the marked frames that were never sent ([`LoopEvent::Closed`]):
 //!   not one byte of them was handed to the kernel;
 //! - an idle connection takes 48 bytes here: a slab entry with its socket, without buffer, timer or
 //!   callback;
--- a/crates/versions/src/conductor.rs
+++ b/crates/versions/src/conductor.rs
@@ -29,7 +29,7 @@
 /// Answers of the old and the new version, by class.
 type Answers = BTreeMap<String, [Tally; 2]>;
 
-/// Conducts one plan at all its gateways. [`Conductor::heard`] takes their reports; [`Conductor::turn`] then
+/// Conducts one plan at all its gateways. [`RolloutController::record_report`] takes their reports; [`RolloutController::evaluate`] then
 /// evaluates all of them together.
 #[derive(Debug)]
 pub struct RolloutController {
--- a/crates/versions/src/lib.rs
+++ b/crates/versions/src/lib.rs
@@ -6,11 +6,11 @@
 //!   affinity key. All gateways choose alike without communication, and a greater share only moves callers
 //!   from the old version to the new one.
 //! - [`Record`]: an order and the complete state that results from it, under an epoch. Of two records the one
-//!   with the greater [`Mark`] holds at every gateway, in whatever order they arrive.
+//!   with the greater [`Precedence`] holds at every gateway, in whatever order they arrive.
 //! - [`Versions`]: the state of one gateway. It compares a record with its own, the caller writes it to disk,
 //!   and only then the gateway acts on it.
-//! - [`Judge`]: compares the versions' answers as they arrive, with a bounded rate of false alarms.
-//! - [`Conductor`]: the operator's side, a rollout controller: sums up the gateways' reports, and widens,
+//! - [`RegressionTest`]: compares the versions' answers as they arrive, with a bounded rate of false alarms.
+//! - [`RolloutController`]: the operator's side, a rollout controller: sums up the gateways' reports, and widens,
 //!   promotes or rolls back.
 //!
 //! `docs/VERSIONS.md` discusses the alternatives.
--- a/crates/versions/src/rollout.rs
+++ b/crates/versions/src/rollout.rs
@@ -136,7 +136,7 @@
         self.rollouts.is_empty()
     }
 
-    /// Compares an incoming record with the one in force. The caller writes a [`Weight::Newer`] record to
+    /// Compares an incoming record with the one in force. The caller writes a [`RecordOrder::Newer`] record to
     /// disk before it passes it to [`Versions::act`].
     pub fn weigh(&self, record: &Record) -> RecordOrder {
         let faults = record.faults();
--- a/src/state.rs
+++ b/src/state.rs
@@ -82,7 +82,7 @@
     pub functions: BTreeSet<FunctionIndex>,
 }
 
-/// Limits what is sent to a cold worker, in half windows of [`ColdStart::window`].
+/// Limits what is sent to a cold worker, in half windows of [`ColdStart::overload_window`].
 #[derive(Debug, Default)]
 pub struct SlowStart {
     /// When the start of the process became known here.
