--- a/crates/engine/src/departure.rs
+++ b/crates/engine/src/departure.rs
@@ -4,7 +4,7 @@
 //! the loop iteration, once a connection is established, or after a pause of the process. Meanwhile the
 //! client may have disconnected, the deadline passed, the worker begun to drain, or the worker list become
 //! too old to rely on. This module alone decides whether something may still be sent. The drivers ask right
-//! before sending ([`crate::Engine::may_leave`]) and report what they sent ([`crate::Engine::departed`]);
+//! before sending ([`crate::Engine::may_send`]) and report what they sent ([`crate::Engine::record_sent`]);
 //! violations are counted.
 //!
 //! Invariants:
