--- a/crates/engine/src/ending.rs
+++ b/crates/engine/src/ending.rs
@@ -34,7 +34,7 @@
 
 impl AttemptEnd {
     /// The dispatcher's outcome. Only this mapping decides whether an attempt provably never ran
-    /// (`ConnectFailed`, `Moot`, `Full`, `Miss`; see [`Outcome::never_ran`]) or may have run (all others).
+    /// (`ConnectFailed`, `NotSent`, `Full`, `Miss`; see [`Outcome::never_ran`]) or may have run (all others).
     ///
     /// Answers of workers are trusted: 'full', 'miss' and 'load-failed' guarantee that the function was not
     /// started. 'cancelled' does not: the worker may have started it before the cancellation arrived.
--- a/crates/engine/src/list_evidence.rs
+++ b/crates/engine/src/list_evidence.rs
@@ -7,12 +7,12 @@
 //! enough responses to later polls agree.
 //!
 //! Invariants:
-//! - a list is accepted only after [`AGREEING`] responses, to as many polls, agree that it was current;
+//! - a list is accepted only after [`REQUIRED_CONFIRMATIONS`] responses, to as many polls, agree that it was current;
 //! - a list that cannot follow the accepted one, once that is confirmed, needs responses that support it for
 //!   longer than a list service may lag behind: a service that merely lags has caught up by then;
 //! - during a discrepancy a worker is undisputed only if the accepted list and every response since the
 //!   beginning contain the same entry of it, in service;
-//! - the accepted list is as old as the first of the last [`AGREEING`] consecutive responses that support it,
+//! - the accepted list is as old as the first of the last [`REQUIRED_CONFIRMATIONS`] consecutive responses that support it,
 //!   so that a stale response with the same list by chance doesn't make it look newer than it is.
 //!
 //! It has no clock and no socket, and trusts the times passed by the caller.
@@ -26,7 +26,7 @@
 /// This many consecutive equal responses end a discrepancy: one more than stale responses arrive in a row.
 pub const REQUIRED_CONFIRMATIONS: usize = 3;
 /// The list may change faster than it can be confirmed. After this many consecutive responses that may all be
-/// of one process, the latest list that [`AGREEING`] of them support is accepted.
+/// of one process, the latest list that [`REQUIRED_CONFIRMATIONS`] of them support is accepted.
 const MAX_PENDING_RESPONSES: usize = 2 * REQUIRED_CONFIRMATIONS;
 /// How many formerly accepted lists are remembered, to recognize stale responses.
 const MAX_SUPERSEDED: usize = 64;
--- a/crates/engine/src/list_evidence/tests.rs
+++ b/crates/engine/src/list_evidence/tests.rs
@@ -7,7 +7,7 @@
 
 const PERIOD: Micros = 200_000;
 const NOTIFIED_WITHIN: Micros = 1_500_000;
-/// This many polls take longer than a list service may lag behind, and include [`AGREEING`] responses after
+/// This many polls take longer than a list service may lag behind, and include [`REQUIRED_CONFIRMATIONS`] responses after
 /// that.
 const POLLS_TO_OVERTURN: usize = (NOTIFIED_WITHIN / PERIOD) as usize + 1 + REQUIRED_CONFIRMATIONS;
 
