--- a/crates/engine/src/interface.rs
+++ b/crates/engine/src/interface.rs
@@ -217,7 +217,8 @@
     Run(Attempt),
     /// The attempt is no longer needed, or must no longer start: cancel it if no byte of it has been sent.
     CancelIfUnsent(WorkerId, u64),
-    /// The attempt timed out: cancel it as with `CancelIfUnsent`, or at the worker if bytes of it have been sent.
+    /// The attempt timed out: cancel it as with `CancelIfUnsent`, or at the worker if bytes of it have been
+    /// sent.
     AttemptTimedOut(WorkerId, u64),
     /// Send the worker the cancellation of an attempt.
     CancelAttempt(WorkerId, u64),
--- a/crates/engine/src/list_evidence.rs
+++ b/crates/engine/src/list_evidence.rs
@@ -7,12 +7,14 @@
 //! enough responses to later polls agree.
 //!
 //! Invariants:
-//! - a list is accepted only after [`REQUIRED_CONFIRMATIONS`] responses, to as many polls, agree that it was current;
+//! - a list is accepted only after [`REQUIRED_CONFIRMATIONS`] responses, to as many polls, agree that it was
+//!   current;
 //! - a list that cannot follow the accepted one, once that is confirmed, needs responses that support it for
 //!   longer than a list service may lag behind: a service that merely lags has caught up by then;
 //! - during a discrepancy a worker is undisputed only if the accepted list and every response since the
 //!   beginning contain the same entry of it, in service;
-//! - the accepted list is as old as the first of the last [`REQUIRED_CONFIRMATIONS`] consecutive responses that support it,
+//! - the accepted list is as old as the first of the last [`REQUIRED_CONFIRMATIONS`] consecutive responses
+//!   that support it,
 //!   so that a stale response with the same list by chance doesn't make it look newer than it is.
 //!
 //! It has no clock and no socket, and trusts the times passed by the caller.
--- a/crates/engine/src/list_evidence/tests.rs
+++ b/crates/engine/src/list_evidence/tests.rs
@@ -7,8 +7,8 @@
 
 const PERIOD: Micros = 200_000;
 const NOTIFIED_WITHIN: Micros = 1_500_000;
-/// This many polls take longer than a list service may lag behind, and include [`REQUIRED_CONFIRMATIONS`] responses after
-/// that.
+/// This many polls take longer than a list service may lag behind, and include [`REQUIRED_CONFIRMATIONS`] responses
+/// after that.
 const POLLS_TO_OVERTURN: usize = (NOTIFIED_WITHIN / PERIOD) as usize + 1 + REQUIRED_CONFIRMATIONS;
 
 fn worker(id: u32, standing: MemberState, started: Micros) -> ListedWorker {
