--- a/crates/carriers/examples/connection_cost.rs
+++ b/crates/carriers/examples/connection_cost.rs
@@ -12,9 +12,9 @@
 use std::process::{Child, Command, Stdio};
 
 use cresswheel::WorkerId;
-use cresswheel_carriers::{Cargo, CarrierLimits, Carriers};
-use cresswheel_measure::{Series, resident_bytes, thread_time, value_of_child};
-use cresswheel_transport::{Hub, HubLimits, Notice, Wire};
+use cresswheel_carriers::{CarrierLimits, ConnectionPool, Payload};
+use cresswheel_measure::{Series, resident_bytes, run_child_for_value, thread_cpu_time};
+use cresswheel_transport::{EventLoop, EventLoopLimits, LoopEvent, Wire};
 
 const CONNECTIONS: [usize; 5] = [200, 1_000, 2_000, 4_000, 8_000];
 const RUNS: usize = 3;
@@ -48,8 +48,8 @@
 
 /// An event loop with connections to workers, each to a worker of its own.
 struct Fixture {
-    hub: Hub,
-    carriers: Carriers,
+    hub: EventLoop,
+    carriers: ConnectionPool,
     limits: CarrierLimits,
 }
 
@@ -63,18 +63,22 @@
             connect_timeout: 10_000_000,
             idle: HOUR,
         };
-        Self { hub: Hub::new(HubLimits::default()).expect("a hub"), carriers: Carriers::default(), limits }
+        Self {
+            hub: EventLoop::new(EventLoopLimits::default()).expect("a hub"),
+            carriers: ConnectionPool::default(),
+            limits,
+        }
     }
 
     fn connect(&mut self, address: SocketAddr, connections: std::ops::Range<usize>) {
         let mut connecting = 0;
         for number in connections {
             let worker = WorkerId::from(format!("worker-{number:05}").as_str());
-            let cargo = Cargo::Attempt(number as u64);
+            let cargo = Payload::Attempt(number as u64);
             let frame = |out: &mut Vec<u8>| out.extend([0; 150]);
             let to = (&worker, address);
             let connection =
-                self.carriers.give(&mut self.hub, &self.limits, to, (cargo, frame), |_| true, |_| {});
+                self.carriers.dispatch(&mut self.hub, &self.limits, to, (cargo, frame), |_| true, |_| {});
             connection.expect("a connection");
             connecting += 1;
             while connecting >= MAX_CONNECTING {
@@ -86,20 +90,21 @@
         }
         // The frames are sent by now; the attempts end here.
         self.hub.wait(Some(self.hub.clock().now() + 50_000)).expect("a loop iteration");
-        (0..self.carriers.connections()).for_each(|number| _ = self.carriers.done(&self.hub, number as u64));
+        (0..self.carriers.connections())
+            .for_each(|number| _ = self.carriers.complete(&self.hub, number as u64));
     }
 
     /// Runs one loop iteration; returns the number of connections established in it.
     fn await_established(&mut self) -> usize {
         self.hub.wait(Some(self.hub.clock().now() + 1_000_000)).expect("a loop iteration");
         let mut established = 0;
-        while let Some(notice) = self.hub.take_notice() {
+        while let Some(notice) = self.hub.next_event() {
             match notice {
-                Notice::Connected(connection) => {
-                    self.carriers.stands(connection);
+                LoopEvent::Connected(connection) => {
+                    self.carriers.mark_established(connection);
                     established += 1;
                 }
-                Notice::Closed { why, .. } => panic!("a connection was lost: {why}"),
+                LoopEvent::Closed { why, .. } => panic!("a connection was lost: {why}"),
                 _ => {}
             }
         }
@@ -115,11 +120,11 @@
     let before = resident_bytes().expect("/proc");
     fixture.connect(address, 50..50 + connections);
     let grown = resident_bytes().expect("/proc") - before;
-    let began = thread_time();
+    let began = thread_cpu_time();
     for _ in 0..SEARCHES {
         fixture.carriers.close_idle(&mut fixture.hub, HOUR);
     }
-    let search_us = (thread_time() - began).as_secs_f64() * 1e6 / SEARCHES as f64;
+    let search_us = (thread_cpu_time() - began).as_secs_f64() * 1e6 / SEARCHES as f64;
     drop(child.stdin.take());
     child.wait().expect("its end");
     (grown, search_us)
@@ -142,7 +147,8 @@
         let mut series = Series::new(name, unit, "connections");
         for connections in CONNECTIONS {
             let child = [what.to_owned(), connections.to_string()];
-            series.add(connections, (0..RUNS).map(|_| value_of_child(&child).expect("a child")).collect());
+            series
+                .add(connections, (0..RUNS).map(|_| run_child_for_value(&child).expect("a child")).collect());
         }
         println!("{series}");
     }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -14,7 +14,7 @@
 use std::process::ExitCode;
 
 use clap::{Parser, Subcommand};
-use cresswheel_gateway::{Gateway, HolderCommand};
+use cresswheel_gateway::{AcceptorCommand, Gateway};
 use cresswheel_platform::{Platform, PlatformSettings};
 use cresswheel_platform_wire::config::Config;
 
@@ -124,7 +124,7 @@
         Command::Gateway { ref file } => gateway(file, &cli),
         Command::Platform { ref config } => platform(config),
         Command::Crowd(args) => peers::crowd(args, cli.tied),
-        Command::Hold => cresswheel_clients::trunk::hold().map(|()| ExitCode::SUCCESS),
+        Command::Hold => cresswheel_clients::trunk::run_acceptor().map(|()| ExitCode::SUCCESS),
         Command::Check { file } => match cresswheel_settings::read(&file) {
             Ok(settings) => {
                 println!("{}: sound; gateway {}", file.display(), settings.name);
@@ -155,7 +155,7 @@
 }
 
 /// How a gateway starts a process that holds connections: itself, with the same logs.
-fn holder(cli: &Cli) -> HolderCommand {
+fn holder(cli: &Cli) -> AcceptorCommand {
     let mut args = vec!["--log".to_owned(), cli.log.clone()];
     args.extend(cli.json.then(|| "--json".to_owned()));
     if let Some(file) = &cli.log_file {
--- a/crates/clients/src/closing.rs
+++ b/crates/clients/src/closing.rs
@@ -1,20 +1,20 @@
 //! Closing of client connections: on a timeout, if the client does not read, and when the gateway stops.
 
-use cresswheel_admission::{Act, Sign};
+use cresswheel_admission::{ConnectionAction, ConnectionEvent};
 use cresswheel_protocol::{Message, Micros};
-use cresswheel_transport::{Connection, Hub, slot};
+use cresswheel_transport::{Connection, EventLoop, slot};
 
 use crate::Clients;
 use crate::owed::{ReadAhead, Stalled};
 
 impl Clients {
     /// Does what the connection limits require now, and pauses or resumes accepting.
-    pub fn tick(&mut self, hub: &mut Hub) {
+    pub fn tick(&mut self, hub: &mut EventLoop) {
         let now = hub.clock().now();
-        while let Some(act) = self.limiter.act(now) {
+        while let Some(act) = self.limiter.next_action(now) {
             match act {
-                Act::Close(slot, why) => self.on_timeout(hub, slot, why),
-                Act::Ping(slot) => {
+                ConnectionAction::Close(slot, why) => self.on_timeout(hub, slot, why),
+                ConnectionAction::Ping(slot) => {
                     let Some(connection) = self.states[slot].connection else { continue };
                     if hub.backlog(connection) > 0 {
                         hub.close(connection, "does-not-read");
@@ -22,36 +22,40 @@
                         hub.send(connection, &Message::Probe { number: 0 }, None);
                     }
                 }
-                Act::AskToLeave(slot) => self.ask_to_leave(hub, slot),
+                ConnectionAction::AskToLeave(slot) => self.ask_to_leave(hub, slot),
             }
         }
         let may_accept = self.limiter.may_accept(now);
         if may_accept.is_ok() {
-            hub.accept_at_once(self.terms.door.connections.saturating_sub(self.limiter.here()));
+            hub.accept_at_once(self.terms.door.connections.saturating_sub(self.limiter.connection_count()));
         }
         let listening = may_accept.is_ok() && !self.draining;
         if std::mem::replace(&mut self.listening, listening) != listening {
-            if !listening && !self.draining && self.limiter.here() >= self.terms.door.connections {
-                tracing::warn!(connections = self.limiter.here(), "accepting pauses: all places are taken");
+            if !listening && !self.draining && self.limiter.connection_count() >= self.terms.door.connections
+            {
+                tracing::warn!(
+                    connections = self.limiter.connection_count(),
+                    "accepting pauses: all places are taken"
+                );
             }
             hub.pause_listening(!listening);
         }
     }
 
-    fn ask_to_leave(&mut self, hub: &mut Hub, slot: usize) {
+    fn ask_to_leave(&mut self, hub: &mut EventLoop, slot: usize) {
         let state = &mut self.states[slot];
         let Some(connection) = state.connection else { return };
         state.asked_to_leave = true;
         if !state.http {
             hub.send(connection, &Message::GoingAway { reason: "stopping".into() }, None);
-        } else if state.outstanding.is_none() && !hub.midway(connection) {
+        } else if state.outstanding.is_none() && !hub.has_partial_message(connection) {
             hub.finish(connection);
         }
     }
 
     /// Closes a connection for this reason, unless bytes that were just received are still to be handled, or
     /// requests are open that are to be answered first.
-    fn on_timeout(&mut self, hub: &mut Hub, slot: usize, why: &'static str) {
+    fn on_timeout(&mut self, hub: &mut EventLoop, slot: usize, why: &'static str) {
         let now = hub.clock().now();
         let Some(connection) = self.states[slot].connection else { return };
         let has_open = self.states[slot].has_open();
@@ -66,18 +70,18 @@
                 let restarts = backlog < stalled.backlog || has_open;
                 if restarts && total_backlog <= self.terms.door.half_bytes {
                     stalled.backlog = backlog;
-                    return self.limiter.sign(now, slot, Sign::Stalled);
+                    return self.limiter.on_event(now, slot, ConnectionEvent::Stalled);
                 }
             }
             (None, "half-sent" | "half-bytes") if has_open => {
-                self.limiter.sign(now, slot, Sign::Heard(0));
+                self.limiter.on_event(now, slot, ConnectionEvent::Received(0));
                 self.states[slot].outstanding.get_or_insert_default().close_reason = Some(why);
                 return;
             }
             (None, "half-sent" | "half-bytes") => {}
             (None, _) => {
                 if !hub.is_quiet(connection) {
-                    return self.limiter.sign(now, slot, Sign::Heard(0));
+                    return self.limiter.on_event(now, slot, ConnectionEvent::Received(0));
                 }
             }
         }
@@ -86,7 +90,7 @@
     }
 
     /// Closes a connection that is to be closed, if it has no open request.
-    pub(crate) fn close_if_settled(&mut self, hub: &mut Hub, connection: Connection) {
+    pub(crate) fn close_if_settled(&mut self, hub: &mut EventLoop, connection: Connection) {
         let state = &mut self.states[slot(connection)];
         if state.has_open() {
             return;
@@ -119,7 +123,7 @@
 
     /// Marks a client as stalled if its backlog is over the limit. On the main protocol, reading from it goes
     /// on up to a limit, because it may cancel requests.
-    pub(crate) fn check_backlog(&mut self, hub: &mut Hub, connection: Connection) {
+    pub(crate) fn check_backlog(&mut self, hub: &mut EventLoop, connection: Connection) {
         let backlog = hub.backlog(connection);
         if backlog <= self.terms.backlog {
             return;
@@ -131,14 +135,14 @@
         if state.http {
             hub.pause(connection, true);
         } else {
-            hub.tell_flushed(connection);
+            hub.report_flushed(connection);
         }
-        self.limiter.sign(hub.clock().now(), slot(connection), Sign::Stalled);
+        self.limiter.on_event(hub.clock().now(), slot(connection), ConnectionEvent::Stalled);
     }
 
     /// The output backlog of a client is sent: the requests read ahead are handled.
-    pub(crate) fn on_flushed(&mut self, hub: &mut Hub, connection: Connection) {
-        self.limiter.sign(hub.clock().now(), slot(connection), Sign::Reads);
+    pub(crate) fn on_flushed(&mut self, hub: &mut EventLoop, connection: Connection) {
+        self.limiter.on_event(hub.clock().now(), slot(connection), ConnectionEvent::Resumed);
         let state = &mut self.states[slot(connection)];
         let stalled = state.outstanding.as_mut().and_then(|outstanding| outstanding.stalled.take());
         state.free_if_idle();
@@ -157,7 +161,7 @@
 
     /// Closes each connection that has no outstanding work, no output to send and no received bytes to
     /// handle. True: no connection is left.
-    pub fn finish_all(&mut self, hub: &mut Hub) -> bool {
+    pub fn finish_all(&mut self, hub: &mut EventLoop) -> bool {
         let mut none_left = true;
         for state in &mut self.states {
             let Some(connection) = state.connection else { continue };
--- a/crates/engine/src/ending.rs
+++ b/crates/engine/src/ending.rs
@@ -34,7 +34,7 @@
 
 impl AttemptEnd {
     /// The dispatcher's outcome. Only this mapping decides whether an attempt provably never ran
-    /// (`ConnectFailed`, `Moot`, `Full`, `Miss`; see [`Outcome::never_ran`]) or may have run (all others).
+    /// (`ConnectFailed`, `NotSent`, `Full`, `Miss`; see [`Outcome::never_ran`]) or may have run (all others).
     ///
     /// Answers of workers are trusted: 'full', 'miss' and 'load-failed' guarantee that the function was not
     /// started. 'cancelled' does not: the worker may have started it before the cancellation arrived.
@@ -42,7 +42,7 @@
         match self {
             Self::NotConnected => Outcome::ConnectFailed,
             // No sign of a failing worker: its next connection may work.
-            Self::NotWritten | Self::TakenBack | Self::NotSent => Outcome::Moot,
+            Self::NotWritten | Self::TakenBack | Self::NotSent => Outcome::NotSent,
             Self::Answered(Ending::Full, _) => Outcome::Full,
             Self::Answered(Ending::Miss | Ending::LoadFailed, _) => Outcome::Miss,
             Self::Answered(Ending::Ok, _) => Outcome::Ok,
@@ -61,7 +61,7 @@
             Self::TakenBack => "taken-back",
             Self::Broken => "broken",
             Self::CutOff => "cut-off",
-            Self::Answered(ending, _) => ending.word(),
+            Self::Answered(ending, _) => ending.as_str(),
             Self::Wrong(_) => "wrong-version",
             Self::Silent => "timeout",
             Self::CalledOff => "called-off",
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -11,7 +11,7 @@
 //! - each `Action::Send` of the dispatcher gets one `Event::Ended`, each `Hold` one `Event::Held`;
 //! - only [`AttemptEnd::outcome`] decides whether an attempt provably never ran;
 //! - only `departure` decides whether an attempt or order may still be sent;
-//! - only [`ListEvidence`] decides which responses of the list service are accepted;
+//! - only [`ListValidator`] decides which responses of the list service are accepted;
 //! - the same inputs give the same outputs.
 
 mod admission;
@@ -26,9 +26,11 @@
 
 pub use admission::AdmissionLimits;
 pub use counters::Counters;
-pub use departure::{Barred, Departure, ListAge, ListTerms, WaitFor};
+pub use departure::{DenyReason, ListAge, ListValidity, MissingEvidence, SendDecision};
 pub use ending::{AttemptEnd, OrderEnd};
 pub use engine::Engine;
 pub use interface::*;
-pub use list_evidence::{AGREEING, Contradictions, Exchange, ListEvidence, ListVersion, Weighed};
+pub use list_evidence::{
+    Contradictions, ListEvaluation, ListValidator, ListVersion, PollTimes, REQUIRED_CONFIRMATIONS,
+};
 pub use results::ResultLimits;
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -8,16 +8,16 @@
 use anyhow::Context;
 use calloop::signals::Signal;
 use cresswheel::Effect;
-use cresswheel_admission::{Budget, Intake, Parts, Verdict};
-use cresswheel_carriers::{Cargo, CarrierLimits};
-use cresswheel_clients::{Ask, ClientTerms, Clients};
+use cresswheel_admission::{CallQueue, ConnectionSplit, DescriptorBudget, OfferResult};
+use cresswheel_carriers::{CarrierLimits, Payload};
+use cresswheel_clients::{ClientLimits, ClientRequest, Clients};
 use cresswheel_engine::{Answer, Attempt, AttemptEnd, Call, Client, Engine, Input, OrderEnd, Output};
-use cresswheel_protocol::{Listed, Message, Micros, Origin, Role, Status};
-use cresswheel_transport::{Connection, Hub, Notice, Wire, listener};
+use cresswheel_protocol::{ListedWorker, Message, Micros, Origin, Role, Status};
+use cresswheel_transport::{Connection, EventLoop, LoopEvent, Wire, listener};
 use foldhash::HashMap;
 use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
 
-use crate::holders::{self, AcceptorEvent, Acceptors, ConnectionKey, HolderCommand};
+use crate::holders::{self, AcceptorCommand, AcceptorEvent, Acceptors, ConnectionKey};
 use crate::metrics::{self, GatewayCounts};
 use crate::saved_list::SavedList;
 use crate::settings::GatewaySettings;
@@ -50,14 +50,14 @@
 pub struct Gateway {
     settings: GatewaySettings,
     reload: Reload,
-    event_loop: Hub,
+    event_loop: EventLoop,
     engine: Engine,
     workers: Workers,
     ready: Ready,
     clients: Clients,
     acceptors: Acceptors,
-    budget: Budget,
-    intake: Intake<QueuedCall>,
+    budget: DescriptorBudget,
+    intake: CallQueue<QueuedCall>,
     /// Calls started in this loop iteration.
     started: usize,
     /// Calls that the intake rejected, by class.
@@ -111,9 +111,9 @@
 }
 
 /// The terms for each process that holds client connections: its part of the gateway's limits.
-fn process_terms(terms: &ClientTerms, parts: Parts) -> ClientTerms {
+fn process_terms(terms: &ClientLimits, parts: ConnectionSplit) -> ClientLimits {
     let mut part = *terms;
-    let n = parts.holders.max(1) as u64;
+    let n = parts.acceptors.max(1) as u64;
     part.door.connections = parts.each;
     part.door.accepts_per_s = terms.door.accepts_per_s.div_ceil(n);
     part.door.half_bytes = terms.door.half_bytes.div_ceil(n as usize);
@@ -126,14 +126,18 @@
 impl Gateway {
     /// Binds the listeners and reads the saved list; calls are accepted in [`Gateway::run`]. `acceptor`
     /// builds the command of an acceptor process, if the settings ask for any.
-    pub fn start(settings: GatewaySettings, reload: Reload, acceptor: HolderCommand) -> anyhow::Result<Self> {
-        let mut event_loop = Hub::new(settings.shell.clients.hub()).context("event loop")?;
+    pub fn start(
+        settings: GatewaySettings,
+        reload: Reload,
+        acceptor: AcceptorCommand,
+    ) -> anyhow::Result<Self> {
+        let mut event_loop = EventLoop::new(settings.limits.clients.hub()).context("event loop")?;
         event_loop.signals(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP]).context("signals")?;
         event_loop.leave_within(LONG_ITERATION);
-        let budget = Budget {
+        let budget = DescriptorBudget {
             limit: raise_descriptor_limit(),
             workers: settings.workers.len().max(MIN_EXPECTED_WORKERS),
-            per_worker: settings.shell.worker_connections,
+            per_worker: settings.limits.worker_connections,
         };
         let parts = divide_connections(&budget, &settings);
         let sockets = [Some(settings.listen), settings.http].into_iter().flatten();
@@ -142,30 +146,30 @@
         let mut at = sockets.iter().map(|s| s.local_addr().ok().and_then(|at| at.as_socket()));
         let ready = Ready { main: at.next().flatten().context("listen")?, http: at.next().flatten() };
         drop(at);
-        let terms = process_terms(&settings.shell.clients, parts);
+        let terms = process_terms(&settings.limits.clients, parts);
         let mut http_listener = None;
-        if parts.holders == 0 {
+        if parts.acceptors == 0 {
             for (socket, wire) in sockets.iter().zip([Wire::Frames, Wire::Http]) {
                 let number = event_loop.adopt_listener(socket.try_clone()?.into(), wire)?;
                 http_listener = Some(number).filter(|_| wire == Wire::Http).or(http_listener);
             }
         }
         let clients = Clients::new(&mut event_loop, terms, http_listener);
-        let acceptors = Acceptors::new(acceptor, sockets, terms, parts.holders);
-        let module = &settings.engine.module;
+        let acceptors = Acceptors::new(acceptor, sockets, terms, parts.acceptors);
+        let module = &settings.engine.dispatcher;
         let classes = module.classes.iter().enumerate().map(|(at, c)| (c.name.clone(), at)).collect();
         let tenants = module.tenants.iter().enumerate().map(|(at, t)| (t.name.clone(), at)).collect();
-        let intake = Intake::new(&settings.class_terms(), settings.shell.intake);
+        let intake = CallQueue::new(&settings.class_terms(), settings.limits.intake);
         let now = event_loop.clock().now();
         // The process id distinguishes gateways that start in the same microsecond.
         let incarnation = now.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ u64::from(std::process::id());
         let engine = Engine::new(settings.engine.clone(), incarnation)?;
-        let saved_list = settings.state.as_deref().map(|folder| {
+        let saved_list = settings.state_folder.as_deref().map(|folder| {
             SavedList::new(folder).with_context(|| format!("state folder {}", folder.display()))
         });
         let saved_list = saved_list.transpose()?;
         let orders = settings.versions.as_ref().map(|versions| versions.key.clone());
-        let orders = orders.zip(settings.state.as_deref());
+        let orders = orders.zip(settings.state_folder.as_deref());
         let versions = VersionController::open(orders, &settings.name, incarnation, module.gateways, now)
             .map_err(anyhow::Error::msg)?;
         let mut gateway = Self {
@@ -179,13 +183,13 @@
             budget,
             intake,
             started: 0,
-            rejected: vec![0; settings.engine.module.classes.len()],
+            rejected: vec![0; settings.engine.dispatcher.classes.len()],
             classes,
             tenants,
             list_connection: None,
             list_index: 0,
-            list_retry_at: (!settings.list.is_empty()).then_some(now),
-            list_stale: !settings.list.is_empty(),
+            list_retry_at: (!settings.list_services.is_empty()).then_some(now),
+            list_stale: !settings.list_services.is_empty(),
             saved_list,
             versions,
             next_idle_check: now,
@@ -237,7 +241,7 @@
                 _ => {}
             }
             self.event_loop.wait(Some(self.next_due()))?;
-            while let Some(notice) = self.event_loop.take_notice() {
+            while let Some(notice) = self.event_loop.next_event() {
                 self.handle_notice(notice);
             }
             self.start_calls();
@@ -253,28 +257,28 @@
 
     /// Whether all calls are answered and all clients were asked to disconnect.
     fn is_drained(&self) -> bool {
-        let asking = self.clients.is_asking() || self.acceptors.counts().any(|counts| counts.asking);
+        let asking = self.clients.is_draining() || self.acceptors.counts().any(|counts| counts.asking);
         self.engine.open_calls() == 0 && self.intake.is_empty() && !asking
     }
 
     /// Starts queued calls in the order of their urgency, at most so many in one loop iteration, so that
     /// answers of workers are handled in between.
     fn start_calls(&mut self) {
-        self.intake.turn(self.event_loop.clock().now());
+        self.intake.begin_iteration(self.event_loop.clock().now());
         while self.started < self.intake.per_turn() {
-            let Some((_, arrived_at, queued)) = self.intake.take() else { break };
+            let Some((_, arrived_at, queued)) = self.intake.take_next_to_start() else { break };
             self.start_call(queued.client, arrived_at, queued.call);
         }
         self.started = 0;
-        while let Some(refused) = self.intake.take_over(self.event_loop.clock().now()) {
+        while let Some(refused) = self.intake.reject_overdue(self.event_loop.clock().now()) {
             self.refuse_busy(refused.call, refused.reason, refused.retry_after);
         }
         // Unread requests wait in kernel buffers, and their time keeps running.
         if self.intake.is_full() {
-            self.event_loop.hold_guests(true);
+            self.event_loop.pause_inbound(true);
             self.acceptors.pause(&mut self.event_loop, true);
-        } else if self.intake.has_room() {
-            self.event_loop.hold_guests(false);
+        } else if self.intake.may_resume_reading() {
+            self.event_loop.pause_inbound(false);
             self.acceptors.pause(&mut self.event_loop, false);
         }
     }
@@ -297,15 +301,15 @@
         all.into_iter().flatten().min().unwrap_or(self.next_idle_check)
     }
 
-    fn handle_notice(&mut self, notice: Notice) {
+    fn handle_notice(&mut self, notice: LoopEvent) {
         let Some(notice) = self.clients.notice(&mut self.event_loop, notice) else {
-            while let Some(ask) = self.clients.take_ask() {
+            while let Some(ask) = self.clients.take_request() {
                 self.handle_request(ask.connection, ask);
             }
             return;
         };
         match notice {
-            Notice::Message(connection, _) | Notice::Closed { connection, .. }
+            LoopEvent::Message(connection, _) | LoopEvent::Closed { connection, .. }
                 if self.acceptors.is_trunk(connection) =>
             {
                 match self.acceptors.handle_notice(&mut self.event_loop, notice) {
@@ -316,15 +320,15 @@
                     None => {}
                 }
             }
-            Notice::Connected(connection) if Some(connection) != self.list_connection => {
+            LoopEvent::Connected(connection) if Some(connection) != self.list_connection => {
                 self.workers.connected(&self.event_loop, connection)
             }
-            Notice::Message(connection, message) => self.handle_message(connection, message),
-            Notice::Closed { connection, never_stood, unsent, why, .. } => {
+            LoopEvent::Message(connection, message) => self.handle_message(connection, message),
+            LoopEvent::Closed { connection, never_stood, unsent, why, .. } => {
                 self.handle_closed(connection, never_stood, &unsent, &why);
             }
-            Notice::Signal(Signal::SIGHUP) => self.reload_settings(),
-            Notice::Signal(signal) => self.stop(signal),
+            LoopEvent::Signal(Signal::SIGHUP) => self.reload_settings(),
+            LoopEvent::Signal(signal) => self.stop(signal),
             // All others concern client connections, which `Clients` has handled.
             _ => {}
         }
@@ -337,12 +341,12 @@
         tracing::info!(?signal, open = self.engine.open_calls(), "stopping");
         self.handle_input(Input::Drain);
         // The engine refuses queued calls now, like all new ones.
-        while let Some((_, arrived_at, queued)) = self.intake.take() {
+        while let Some((_, arrived_at, queued)) = self.intake.take_next_to_start() {
             self.start_call(queued.client, arrived_at, queued.call);
         }
-        self.clients.leave(&mut self.event_loop);
+        self.clients.drain(&mut self.event_loop);
         self.acceptors.drain(&mut self.event_loop);
-        self.phase = Phase::Draining(self.event_loop.clock().now() + self.settings.shell.stop_within);
+        self.phase = Phase::Draining(self.event_loop.clock().now() + self.settings.limits.drain_timeout);
     }
 
     /// Settings with an error are rejected as a whole, and so are settings that change what needs a restart.
@@ -355,31 +359,32 @@
                     let fixed = fixed.join(", ");
                     return tracing::error!(%fixed, "the settings stay as they are: this needs a restart");
                 }
-                self.engine.change_bounds(&new.engine);
+                self.engine.update_limits(&new.engine);
                 let mut parts = divide_connections(&self.budget, &new);
-                if parts.holders != self.acceptors.count() {
+                if parts.acceptors != self.acceptors.count() {
                     // The number of processes is fixed until a restart; it limits the connections.
                     parts =
-                        self.budget.spread(new.shell.clients.door.connections, Some(self.acceptors.count()));
+                        self.budget.split(new.limits.clients.door.connections, Some(self.acceptors.count()));
                     tracing::warn!(
-                        holders = parts.holders,
-                        short = parts.short,
+                        holders = parts.acceptors,
+                        short = parts.reduced_to,
                         "the number of acceptor processes stays as it is until a restart"
                     );
                 }
-                let terms = process_terms(&new.shell.clients, parts);
+                let terms = process_terms(&new.limits.clients, parts);
                 self.clients.change(&mut self.event_loop, terms);
                 self.acceptors.set_terms(&mut self.event_loop, terms);
-                self.intake.change(&new.class_terms(), new.shell.intake);
-                if self.settings.list != new.list {
+                self.intake.change(&new.class_terms(), new.limits.intake);
+                if self.settings.list_services != new.list_services {
                     self.list_connection
                         .take()
                         .into_iter()
                         .for_each(|list| self.event_loop.close(list, "the list service changed"));
                     // Connects to the new one at once.
                     self.list_index = 0;
-                    self.list_retry_at = (!new.list.is_empty()).then(|| self.event_loop.clock().now());
-                    self.list_stale = !new.list.is_empty();
+                    self.list_retry_at =
+                        (!new.list_services.is_empty()).then(|| self.event_loop.clock().now());
+                    self.list_stale = !new.list_services.is_empty();
                 }
                 self.workers.set_limits(worker_limits(&new), hello(&new));
                 self.settings = new;
@@ -411,7 +416,7 @@
     }
 
     /// Handles a client's request.
-    fn handle_request(&mut self, key: ConnectionKey, ask: Ask) {
+    fn handle_request(&mut self, key: ConnectionKey, ask: ClientRequest) {
         match ask.message {
             Message::Call {
                 number,
@@ -433,12 +438,12 @@
                     tenant,
                     key: idempotency,
                     trace,
-                    time_left,
+                    timeout: time_left,
                     shape,
                     body,
                     account,
                     route: None,
-                    is_key_for_workers: false,
+                    workers_deduplicate: false,
                 };
                 self.handle_call(Client { connection: key, number }, ask.came, call);
             }
@@ -447,7 +452,7 @@
             }
             Message::Cancel { number } => {
                 tracing::debug!(connection = key, number, "call canceled");
-                if !self.intake.call_off((key, number)) {
+                if !self.intake.cancel((key, number)) {
                     self.handle_input(Input::Cancel(Client { connection: key, number }));
                 }
             }
@@ -467,8 +472,8 @@
 
     fn client_left(&mut self, key: ConnectionKey) {
         tracing::debug!(connection = key, "client left");
-        self.intake.left(key);
-        self.handle_input(Input::Left(key));
+        self.intake.cancel_connection(key);
+        self.handle_input(Input::Disconnected(key));
     }
 
     fn handle_call(&mut self, client: Client, arrived_at: Micros, call: Call) {
@@ -484,11 +489,11 @@
         let tenant = self.tenants.get(&call.tenant).copied();
         let (now, name) = (self.event_loop.clock().now(), (client.connection, client.number));
         match self.intake.offer(now, name, class, tenant, arrived_at, QueuedCall { class, client, call }) {
-            Verdict::Waits => {}
-            Verdict::Refused(refused) => {
+            OfferResult::Queued => {}
+            OfferResult::Rejected(refused) => {
                 self.refuse_busy(refused.call, refused.reason, refused.retry_after);
             }
-            Verdict::Twice(duplicate) => {
+            OfferResult::Duplicate(duplicate) => {
                 self.close_client(duplicate.client.connection, "a number is used twice")
             }
         }
@@ -498,19 +503,19 @@
     fn start_call(&mut self, client: Client, arrived_at: Micros, mut call: Call) {
         self.started += 1;
         let engine = &self.settings.engine;
-        let class = self.classes.get(&call.class).map(|class| &engine.module.classes[*class]);
+        let class = self.classes.get(&call.class).map(|class| &engine.dispatcher.classes[*class]);
         let default_timeout =
-            if call.deferred { engine.deferred_time } else { class.map_or(0, |class| class.give_up) };
-        let requested = if call.time_left == 0 { default_timeout } else { call.time_left };
+            if call.deferred { engine.deferred_time } else { class.map_or(0, |class| class.client_timeout) };
+        let requested = if call.timeout == 0 { default_timeout } else { call.timeout };
         let now = self.event_loop.clock().now();
         let waited = now.saturating_sub(arrived_at);
-        call.time_left = requested.min(engine.most_time).saturating_sub(waited).max(1);
+        call.timeout = requested.min(engine.max_time).saturating_sub(waited).max(1);
         call.route = self.versions.choose_version(now, &call, client);
         let safe = class.is_some_and(|class| class.effect == Effect::Safe);
         // A shadow call must not delay clients' calls, so there is none while any are queued. It must not
         // earn prewarm orders either: the order budget is for clients' calls, and the decision module can't
         // tell them apart.
-        let allowed = self.settings.engine.module.ration.is_none() && self.intake.is_empty();
+        let allowed = self.settings.engine.dispatcher.order_rate_limit.is_none() && self.intake.is_empty();
         let shadow = (safe && allowed).then(|| self.versions.shadow_call(now, &call, client)).flatten();
         self.handle_input(Input::Call(client, call));
         if let Some((client, call)) = shadow {
@@ -583,14 +588,14 @@
             self.list_connection = None;
             self.list_stale = true;
             self.list_index += 1;
-            self.list_retry_at = Some(self.event_loop.clock().now() + self.settings.shell.list_retry);
-            return self.handle_input(Input::ListLost);
+            self.list_retry_at = Some(self.event_loop.clock().now() + self.settings.limits.list_retry_delay);
+            return self.handle_input(Input::ListUnavailable);
         }
         let ended = self.workers.on_closed(connection, never_stood, unsent, why);
         ended.into_iter().for_each(|input| self.handle_input(input));
     }
 
-    fn apply_list(&mut self, whole: bool, workers: Vec<Listed>) {
+    fn apply_list(&mut self, whole: bool, workers: Vec<ListedWorker>) {
         let ended = self.workers.apply_list(&mut self.event_loop, whole, &workers);
         self.handle_input(Input::List { whole, workers });
         ended.into_iter().for_each(|input| self.handle_input(input));
@@ -630,23 +635,23 @@
             }
             Output::Close(connection, reason) => self.close_client(connection, reason),
             Output::Run(attempt) => self.send_attempt(attempt),
-            Output::Withdraw(_, attempt) | Output::Overdue(_, attempt) => {
+            Output::CancelIfUnsent(_, attempt) | Output::AttemptTimedOut(_, attempt) => {
                 if self.workers.cancel_unsent(&mut self.event_loop, attempt) {
                     let end = AttemptEnd::TakenBack;
                     self.inputs.push_back(Input::AttemptEnded(attempt, end, Vec::new(), None));
                 }
             }
-            Output::CancelRun(_, attempt) => {
+            Output::CancelAttempt(_, attempt) => {
                 self.workers.cancel_attempt(&mut self.event_loop, attempt);
             }
-            Output::Hold { worker, order, function, count, shape } => {
+            Output::Prewarm { worker, order, function, count, shape } => {
                 tracing::debug!(%worker, %function, count, "hold");
                 let message = Message::Hold { order, function: function.to_string(), count, shape };
-                if !self.workers.dispatch(&mut self.event_loop, &worker, Cargo::Order(order), &message) {
+                if !self.workers.dispatch(&mut self.event_loop, &worker, Payload::Order(order), &message) {
                     self.inputs.push_back(Input::OrderEnded(order, OrderEnd::NotConnected, 0));
                 }
             }
-            Output::Drop(worker, function) => {
+            Output::Unload(worker, function) => {
                 let message = Message::Drop { function: function.to_string() };
                 self.workers.send_if_connected(&mut self.event_loop, &worker, &message);
             }
@@ -655,12 +660,14 @@
                 self.workers.send_if_connected(&mut self.event_loop, &worker, &message);
             }
             // The gateway follows the list from the start, and again after each loss of the connection.
-            Output::Follow => {}
-            Output::Over { call, status, late, erred } => {
+            Output::RequestList => {}
+            Output::CallCompleted { call, status, late, had_error: erred } => {
                 self.versions.record_end(&call, status, late, erred)
             }
-            Output::Ran(call, origin, wrong) => self.versions.record_run(&call, origin.as_ref(), wrong),
-            Output::Loaded(function, is_loaded) => self.versions.record_load(&function.0, is_loaded),
+            Output::VersionReported(call, origin, wrong) => {
+                self.versions.record_run(&call, origin.as_ref(), wrong)
+            }
+            Output::PrewarmEnded(function, is_loaded) => self.versions.record_load(&function.0, is_loaded),
             Output::Log(text) => tracing::info!("{text}"),
         }
     }
@@ -682,9 +689,9 @@
     fn send_attempt(&mut self, attempt: Attempt) {
         let span = tracing::debug_span!("call", id = %attempt.id, trace = %attempt.call.trace);
         let _in = span.enter();
-        tracing::debug!(worker = %attempt.worker, attempt = attempt.number, before = attempt.before, "run");
+        tracing::debug!(worker = %attempt.worker, attempt = attempt.number, before = attempt.previous_attempts, "run");
         let message = attempt.message();
-        let cargo = Cargo::Attempt(attempt.number);
+        let cargo = Payload::Attempt(attempt.number);
         if !self.workers.dispatch(&mut self.event_loop, &attempt.worker, cargo, &message) {
             let end = AttemptEnd::NotConnected;
             self.inputs.push_back(Input::AttemptEnded(attempt.number, end, Vec::new(), None));
@@ -695,7 +702,7 @@
     fn update_expected(&mut self) {
         for expected in self.versions.check(self.event_loop.clock().now()) {
             let (function, like) = (expected.function.as_str().into(), expected.like.as_str().into());
-            self.handle_input(Input::Expected(function, like, EXPECTATION_TTL));
+            self.handle_input(Input::CallsExpected(function, like, EXPECTATION_TTL));
         }
     }
 
@@ -705,10 +712,17 @@
         self.update_expected();
         if self.list_retry_at.is_some_and(|at| at <= now) {
             self.list_retry_at = None;
-            let at = self.settings.list.get(self.list_index % self.settings.list.len().max(1)).copied();
+            let at = self
+                .settings
+                .list_services
+                .get(self.list_index % self.settings.list_services.len().max(1))
+                .copied();
             if let (Some(at), Phase::Running) = (at, self.phase) {
-                let list =
-                    self.event_loop.connect(at, Wire::Frames, self.settings.engine.module.connect_timeout);
+                let list = self.event_loop.connect(
+                    at,
+                    Wire::Frames,
+                    self.settings.engine.dispatcher.connect_timeout,
+                );
                 self.list_connection = Some(list);
                 self.event_loop.send(list, &hello(&self.settings), None);
                 self.event_loop.send(list, &Message::Follow {}, None);
@@ -716,25 +730,25 @@
         }
         if self.next_idle_check <= now {
             self.workers.close_idle(&mut self.event_loop);
-            self.next_idle_check = now + self.settings.shell.worker_idle.max(1_000) / 4;
+            self.next_idle_check = now + self.settings.limits.worker_idle.max(1_000) / 4;
         }
     }
 }
 
 fn worker_limits(settings: &GatewaySettings) -> CarrierLimits {
-    let shell = &settings.shell;
+    let shell = &settings.limits;
     CarrierLimits {
         wire: Wire::Frames,
         connections: shell.worker_connections,
-        streams: shell.worker_streams,
-        spread: shell.worker_streams,
-        connect_timeout: settings.engine.module.connect_timeout,
+        streams: shell.max_in_flight_per_connection,
+        spread: shell.max_in_flight_per_connection,
+        connect_timeout: settings.engine.dispatcher.connect_timeout,
         idle: shell.worker_idle,
     }
 }
 
 fn hello(settings: &GatewaySettings) -> Message {
-    let (name, zone) = (settings.name.clone(), settings.engine.module.zone.clone());
+    let (name, zone) = (settings.name.clone(), settings.engine.dispatcher.zone.clone());
     Message::Hello { role: Role::Gateway, name, zone }
 }
 
@@ -752,11 +766,11 @@
 }
 
 /// Divides the client connections among the processes; logs a warning if there are too few file descriptors.
-fn divide_connections(budget: &Budget, settings: &GatewaySettings) -> Parts {
-    let asked = settings.shell.clients.door.connections;
-    let parts = budget.spread(asked, settings.holders);
-    let (limit, holders, each) = (budget.limit, parts.holders, parts.each);
-    if let Some(room) = parts.short {
+fn divide_connections(budget: &DescriptorBudget, settings: &GatewaySettings) -> ConnectionSplit {
+    let asked = settings.limits.clients.door.connections;
+    let parts = budget.split(asked, settings.acceptors);
+    let (limit, holders, each) = (budget.limit, parts.acceptors, parts.each);
+    if let Some(room) = parts.reduced_to {
         tracing::warn!(
             asked,
             room,
--- a/crates/gateway/src/holders.rs
+++ b/crates/gateway/src/holders.rs
@@ -11,13 +11,13 @@
 use std::os::unix::net::UnixStream;
 use std::process::{Child, Command, Stdio};
 
-use cresswheel_admission::DoorCounts;
-use cresswheel_clients::{Ask, ClientTerms, answered_number, asked_number, trunk};
+use cresswheel_admission::ConnectionCounts;
+use cresswheel_clients::{ClientLimits, ClientRequest, answer_number, request_number, trunk};
 use cresswheel_protocol::{Message, Micros};
-use cresswheel_transport::{Connection, Hub, Notice, Wire};
+use cresswheel_transport::{Connection, EventLoop, LoopEvent, Wire};
 
 /// Builds the command that runs an acceptor process; its standard input is set afterwards.
-pub type HolderCommand = Box<dyn Fn() -> io::Result<Command>>;
+pub type AcceptorCommand = Box<dyn Fn() -> io::Result<Command>>;
 
 /// An acceptor that ran for this long is restarted without a delay.
 const STABLE_AFTER: Micros = 10_000_000;
@@ -25,7 +25,7 @@
 const MAX_RESTART_DELAY: Micros = 5_000_000;
 
 struct Acceptor {
-    /// The socket between the gateway and this process.
+    /// The socket between the gateway and the acceptor process.
     trunk: Connection,
     child: Child,
     started_at: Micros,
@@ -33,8 +33,8 @@
     next_message: Option<(Connection, Micros)>,
     /// The numbers of unanswered requests, by connection.
     unanswered: BTreeMap<Connection, BTreeSet<u64>>,
-    counts: DoorCounts,
-    /// The value it was sent last.
+    counts: ConnectionCounts,
+    /// Whether another acceptor process can take more connections: the value that this one was sent last.
     capacity_elsewhere: bool,
 }
 
@@ -53,7 +53,7 @@
 /// Holds one acceptor process, or waits to start it.
 enum Slot {
     Running(Box<Acceptor>),
-    /// When to start the process, and the delay before the start after that.
+    /// When to start the process, and the delay before the next try if that start fails.
     Vacant(Micros, Micros),
 }
 
@@ -68,18 +68,19 @@
 #[expect(clippy::large_enum_variant, reason = "consumed at once, never stored")]
 pub enum AcceptorEvent {
     /// A client's request.
-    Request(ConnectionKey, Ask),
+    Request(ConnectionKey, ClientRequest),
     /// The process exited with these connections, which had unanswered requests.
     Exited(Vec<ConnectionKey>),
 }
 
 /// The acceptor processes of this gateway.
 pub struct Acceptors {
-    command: HolderCommand,
+    command: AcceptorCommand,
     listeners: Vec<socket2::Socket>,
-    /// The second listener speaks HTTP.
+    /// There is a second listener, which speaks HTTP; the first one speaks the main protocol, in frames.
     http: bool,
-    terms: ClientTerms,
+    /// The limits of client connections for each acceptor process: its part of the gateway's limits.
+    terms: ClientLimits,
     slots: Vec<Slot>,
     /// The incarnation given to the process started last.
     last_incarnation: u16,
@@ -90,7 +91,7 @@
     /// All calls are answered.
     finishing: bool,
     paused: bool,
-    /// Processes started after the initial ones.
+    /// Processes started after an earlier one in their slot had exited, or after a start there had failed.
     pub restarts: u64,
 }
 
@@ -98,7 +99,7 @@
     (key >> INCARNATION_SHIFT) as u16
 }
 
-/// Whether the connection belongs to this process.
+/// Whether the gateway process itself holds the connection, not an acceptor.
 pub fn is_local(key: ConnectionKey) -> bool {
     incarnation(key) == 0
 }
@@ -106,9 +107,9 @@
 impl Acceptors {
     /// Starts no process yet; [`Acceptors::tick`] does.
     pub fn new(
-        command: HolderCommand,
+        command: AcceptorCommand,
         listeners: Vec<socket2::Socket>,
-        terms: ClientTerms,
+        terms: ClientLimits,
         count: usize,
     ) -> Self {
         Self {
@@ -145,19 +146,24 @@
     }
 
     /// The last counters that each process reported.
-    pub fn counts(&self) -> impl Iterator<Item = &DoorCounts> {
+    pub fn counts(&self) -> impl Iterator<Item = &ConnectionCounts> {
         self.running().map(|acceptor| &acceptor.counts)
     }
 
-    fn terms_message(&self, event_loop: &Hub, capacity_elsewhere: bool) -> Message {
+    fn terms_message(&self, event_loop: &EventLoop, capacity_elsewhere: bool) -> Message {
         let (clock, http, finish) = (event_loop.clock().base(), self.http, self.finishing);
-        let terms =
-            trunk::Told { clock, terms: self.terms, http, room_elsewhere: capacity_elsewhere, finish };
+        let terms = trunk::AcceptorConfig {
+            clock,
+            terms: self.terms,
+            http,
+            room_elsewhere: capacity_elsewhere,
+            finish,
+        };
         Message::Terms { json: serde_json::to_vec(&terms).unwrap_or_default() }
     }
 
     /// Sends new terms to all processes.
-    pub fn set_terms(&mut self, event_loop: &mut Hub, terms: ClientTerms) {
+    pub fn set_terms(&mut self, event_loop: &mut EventLoop, terms: ClientLimits) {
         self.terms = terms;
         self.send_terms(event_loop, true);
     }
@@ -165,7 +171,8 @@
     /// Tells each process whether another one has capacity for connections, if that changed or if `all` is
     /// set. A full process closes no connection in favor of a new one while another has capacity; one that is
     /// about to start has its whole capacity.
-    fn send_terms(&mut self, event_loop: &mut Hub, all: bool) {
+    fn send_terms(&mut self, event_loop: &mut EventLoop, all: bool) {
+        // The limit of one process.
         let max = self.terms.door.connections;
         let has_capacity = |slot: &Slot| match slot {
             Slot::Running(acceptor) => acceptor.counts.connections < max,
@@ -182,17 +189,20 @@
         }
     }
 
-    fn broadcast(&self, event_loop: &mut Hub, message: &Message) {
+    fn broadcast(&self, event_loop: &mut EventLoop, message: &Message) {
         self.running().for_each(|acceptor| _ = event_loop.send(acceptor.trunk, message, None));
     }
 
     /// Accepts only the connections that are in the accept queue already, and asks all clients to disconnect.
-    pub fn drain(&mut self, event_loop: &mut Hub) {
+    pub fn drain(&mut self, event_loop: &mut EventLoop) {
         self.draining = true;
-        // The process that closes a listener last has accepted all that was queued there.
+        // A listening socket ends, with its accept queue, when the last process closes it. After this, only
+        // the processes that accept on it keep it open. When told to drain, each of them accepts all that is
+        // queued and then closes it, and so does the last one.
         self.listeners.clear();
         for slot in &mut self.slots {
             if let Slot::Running(acceptor) = slot {
+                // Until its next counts: whether it still has connections to ask to leave.
                 acceptor.counts.asking = acceptor.counts.connections > 0;
             }
         }
@@ -200,22 +210,23 @@
     }
 
     /// Pauses or resumes reading requests.
-    pub fn pause(&mut self, event_loop: &mut Hub, paused: bool) {
+    pub fn pause(&mut self, event_loop: &mut EventLoop, paused: bool) {
         if std::mem::replace(&mut self.paused, paused) != paused {
             self.running().for_each(|acceptor| event_loop.pause(acceptor.trunk, paused));
         }
     }
 
     /// Called once all calls are answered: each process exits when its connections have ended.
-    pub fn finish(&mut self, event_loop: &mut Hub) {
+    pub fn finish(&mut self, event_loop: &mut EventLoop) {
         self.finishing = true;
         self.send_terms(event_loop, true);
     }
 
     /// Starts the processes that are due and reaps those that exited.
-    pub fn tick(&mut self, event_loop: &mut Hub) {
+    pub fn tick(&mut self, event_loop: &mut EventLoop) {
         self.exited.retain_mut(|child| matches!(child.try_wait(), Ok(None)));
         let now = event_loop.clock().now();
+        // `place` is the index of a slot.
         for place in 0..self.slots.len() {
             let Slot::Vacant(at, delay) = self.slots[place] else { continue };
             if at > now || self.draining {
@@ -236,9 +247,9 @@
         }
     }
 
-    fn start(&mut self, event_loop: &mut Hub, now: Micros) -> io::Result<Acceptor> {
+    fn start(&mut self, event_loop: &mut EventLoop, now: Micros) -> io::Result<Acceptor> {
         let (ours, theirs) = UnixStream::pair()?;
-        trunk::hand_over(&ours, &self.listeners)?;
+        trunk::send_listeners(&ours, &self.listeners)?;
         let mut command = (self.command)()?;
         command.stdin(Stdio::from(OwnedFd::from(theirs))).stdout(Stdio::null());
         let child = command.spawn()?;
@@ -254,7 +265,7 @@
                 break;
             }
         }
-        let counts = DoorCounts::default();
+        let counts = ConnectionCounts::default();
         Ok(Acceptor {
             trunk,
             child,
@@ -289,9 +300,9 @@
     }
 
     /// Handles a notice of a trunk.
-    pub fn handle_notice(&mut self, event_loop: &mut Hub, notice: Notice) -> Option<AcceptorEvent> {
+    pub fn handle_notice(&mut self, event_loop: &mut EventLoop, notice: LoopEvent) -> Option<AcceptorEvent> {
         match notice {
-            Notice::Message(connection, message) => {
+            LoopEvent::Message(connection, message) => {
                 let (incarnation, slot) = self.slot_of(connection)?;
                 let counts = matches!(message, Message::Counts { .. });
                 let from = self.handle_message(incarnation, slot, message);
@@ -300,7 +311,7 @@
                 }
                 from
             }
-            Notice::Closed { connection, why, .. } => {
+            LoopEvent::Closed { connection, why, .. } => {
                 let (incarnation, slot) = self.slot_of(connection)?;
                 Some(self.handle_exit(event_loop, incarnation, slot, &why))
             }
@@ -311,10 +322,12 @@
     fn handle_message(&mut self, incarnation: u16, slot: usize, message: Message) -> Option<AcceptorEvent> {
         let Slot::Running(acceptor) = &mut self.slots[slot] else { return None };
         match message {
+            // Names the connection of the next message, and the earliest time at which it can have arrived.
             Message::Of { connection, came } => acceptor.next_message = Some((connection, came)),
             Message::Counts { json } => {
                 acceptor.counts = serde_json::from_slice(&json).unwrap_or_default();
-                // These may have been counted before the process received `Leave`.
+                // These may have been counted before the process received `Leave`: then it has asked no
+                // connection to leave yet, and `asking` (some are still to be asked) is false by mistake.
                 acceptor.counts.asking |=
                     self.draining && acceptor.counts.asked == 0 && acceptor.counts.connections > 0;
             }
@@ -324,28 +337,36 @@
                     Message::Cancel { number } => acceptor.remove_unanswered(connection, *number),
                     Message::Bye { .. } => _ = acceptor.unanswered.remove(&connection),
                     asked => {
-                        if let Some(number) = asked_number(asked) {
+                        if let Some(number) = request_number(asked) {
                             acceptor.unanswered.entry(connection).or_default().insert(number);
                         }
                     }
                 }
                 let key = u64::from(incarnation) << INCARNATION_SHIFT | connection;
-                return Some(AcceptorEvent::Request(key, Ask { connection, came, message }));
+                return Some(AcceptorEvent::Request(key, ClientRequest { connection, came, message }));
             }
         }
         None
     }
 
-    fn handle_exit(&mut self, event_loop: &Hub, incarnation: u16, slot: usize, why: &str) -> AcceptorEvent {
+    fn handle_exit(
+        &mut self,
+        event_loop: &EventLoop,
+        incarnation: u16,
+        slot: usize,
+        why: &str,
+    ) -> AcceptorEvent {
         self.slots_by_incarnation.remove(&incarnation);
         let now = event_loop.clock().now();
         let acceptor = std::mem::replace(&mut self.slots[slot], Slot::Vacant(now, MIN_RESTART_DELAY));
         let Slot::Running(mut acceptor) = acceptor else { return AcceptorEvent::Exited(Vec::new()) };
         if !self.draining {
+            // `held`: the connections that it reported last.
             let (process, held) = (acceptor.child.id(), acceptor.counts.connections);
             tracing::warn!(process, held, %why, "acceptor process exited");
         }
-        // The process may still run, with only its trunk lost; without the trunk it is of no use.
+        // The gateway sees only that the trunk was closed. The process may still run, for example after an
+        // error on the trunk, but without the trunk it is of no use.
         let _ = acceptor.child.kill();
         let delay = if acceptor.started_at + STABLE_AFTER < now { 0 } else { MIN_RESTART_DELAY };
         self.slots[slot] = Slot::Vacant(now + delay, MIN_RESTART_DELAY * 2);
@@ -360,13 +381,12 @@
     }
 
     /// Sends a message for a client to the process that holds its connection.
-    pub fn reply(&mut self, event_loop: &mut Hub, key: ConnectionKey, message: &Message) {
+    pub fn reply(&mut self, event_loop: &mut EventLoop, key: ConnectionKey, message: &Message) {
         let Some(slot) = self.slots_by_incarnation.get(&incarnation(key)) else { return };
         let Slot::Running(acceptor) = &mut self.slots[*slot] else { return };
         let connection = key & ((1 << INCARNATION_SHIFT) - 1);
-        answered_number(message)
-            .into_iter()
-            .for_each(|number| acceptor.remove_unanswered(connection, number));
+        answer_number(message).into_iter().for_each(|number| acceptor.remove_unanswered(connection, number));
+        // The time of arrival has a meaning only in the other direction, so it is 0.
         event_loop.send(acceptor.trunk, &Message::Of { connection, came: 0 }, None);
         event_loop.send(acceptor.trunk, message, None);
     }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,6 +1,6 @@
 //! The engine's and the gateway's counts in the Prometheus text format.
 
-use cresswheel_admission::DoorCounts;
+use cresswheel_admission::ConnectionCounts;
 use cresswheel_engine::Engine;
 use cresswheel_versions::{Side, Status as VersionStatus};
 use prometheus_client::encoding::text::encode;
@@ -14,7 +14,7 @@
 /// The counts that the engine doesn't have.
 pub struct GatewayCounts {
     /// One entry for each process that holds client connections.
-    pub client_counts: Vec<DoorCounts>,
+    pub client_counts: Vec<ConnectionCounts>,
     pub acceptors: usize,
     pub acceptor_restarts: u64,
     /// Calls that the intake rejected, by class.
@@ -41,19 +41,19 @@
     let labelled = |map: &std::collections::BTreeMap<&'static str, u64>, label: &'static str| {
         map.iter().map(|(word, n)| (vec![(label, (*word).to_owned())], *n)).collect::<Vec<_>>()
     };
-    let taken = counts.classes.iter().zip(&counts.taken);
+    let taken = counts.classes.iter().zip(&counts.accepted);
     let taken = taken.map(|(class, n)| (vec![("class", class.clone())], *n)).collect();
     counter("calls_taken", "Calls taken, by class", taken);
     let answers = counts.answers.iter().map(|((class, status, reason), n)| {
         let labels = [
             ("class", counts.classes[*class].clone()),
-            ("status", status.word().into()),
+            ("status", status.as_str().into()),
             ("reason", (*reason).into()),
         ];
         (labels.to_vec(), *n)
     });
     counter("answers", "Final answers, by class, status and reason", answers.collect());
-    let mut turned_away = counts.turned_away.clone();
+    let mut turned_away = counts.rejected.clone();
     *turned_away.entry("connection-full").or_default() +=
         gateway.client_counts.iter().map(|d| d.refused).sum::<u64>();
     counter("calls_turned_away", "Calls turned away untaken, by reason", labelled(&turned_away, "reason"));
@@ -68,10 +68,11 @@
     let turned_away = ["full", "address-share"].iter().filter_map(|why| closed.get(why)).sum::<u64>();
     let closed = closed.iter().map(|(why, n)| (vec![("reason", (*why).to_owned())], *n)).collect();
     counter("connections_closed", "Connections that the gateway closed or turned away, by reason", closed);
-    let total = |count: fn(&DoorCounts) -> u64| gateway.client_counts.iter().map(count).sum::<u64>();
-    let current = |count: fn(&DoorCounts) -> usize| gateway.client_counts.iter().map(count).sum::<usize>();
+    let total = |count: fn(&ConnectionCounts) -> u64| gateway.client_counts.iter().map(count).sum::<u64>();
+    let current =
+        |count: fn(&ConnectionCounts) -> usize| gateway.client_counts.iter().map(count).sum::<usize>();
     let counters = [
-        ("hold_orders", "Hold orders given", counts.orders),
+        ("hold_orders", "Hold orders given", counts.prewarm_orders),
         ("late_answers", "Answers to attempts that were over", counts.late_answers),
         ("repeats", "Repeats found by their key", counts.repeats),
         ("calls_abandoned", "Calls that every waiter left", counts.abandoned),
--- a/crates/gateway/src/workers.rs
+++ b/crates/gateway/src/workers.rs
@@ -7,10 +7,10 @@
 use std::net::SocketAddr;
 
 use cresswheel::WorkerId;
-use cresswheel_carriers::{Cargo, CarrierLimits, Carriers};
+use cresswheel_carriers::{CarrierLimits, ConnectionPool, Payload};
 use cresswheel_engine::{AttemptEnd, Input, OrderEnd};
-use cresswheel_protocol::{Listed, Message, Micros, Standing, encode};
-use cresswheel_transport::{Connection, Hub};
+use cresswheel_protocol::{ListedWorker, MemberState, Message, Micros, encode};
+use cresswheel_transport::{Connection, EventLoop};
 use foldhash::{HashMap, HashMapExt, HashSet};
 
 /// When a connection was opened, and when something was last received on it.
@@ -22,7 +22,7 @@
 
 /// The listed workers and the connections to them.
 pub struct Workers {
-    pool: Carriers,
+    pool: ConnectionPool,
     limits: CarrierLimits,
     /// The first message on each connection.
     hello: Message,
@@ -32,7 +32,7 @@
 
 impl Workers {
     pub fn new(limits: CarrierLimits, hello: Message) -> Self {
-        let (pool, addresses, activity) = (Carriers::default(), HashMap::new(), HashMap::new());
+        let (pool, addresses, activity) = (ConnectionPool::default(), HashMap::new(), HashMap::new());
         Self { pool, limits, hello, addresses, activity }
     }
 
@@ -48,12 +48,17 @@
 
     /// Whether this is a connection to a worker.
     pub fn is_worker_connection(&self, connection: Connection) -> bool {
-        self.pool.is_ours(connection)
+        self.pool.contains(connection)
     }
 
     /// Applies a whole list or its changes. Returns the unsent attempts and orders of workers that drain or
     /// were removed, which are canceled.
-    pub fn apply_list(&mut self, event_loop: &mut Hub, whole: bool, listed: &[Listed]) -> Vec<Input> {
+    pub fn apply_list(
+        &mut self,
+        event_loop: &mut EventLoop,
+        whole: bool,
+        listed: &[ListedWorker],
+    ) -> Vec<Input> {
         let mut ended = Vec::new();
         if whole {
             let listed_ids: HashSet<&str> = listed.iter().map(|worker| worker.id.as_str()).collect();
@@ -68,35 +73,35 @@
                 ended.extend(self.remove(event_loop, &id));
                 continue;
             };
-            if worker.standing == Standing::Out {
+            if worker.standing == MemberState::Removed {
                 ended.extend(self.remove(event_loop, &id));
                 continue;
             }
             let previous = self.addresses.insert(id.clone(), address);
-            if worker.standing == Standing::Draining {
+            if worker.standing == MemberState::Draining {
                 ended.extend(self.pool.withdraw_all(event_loop, &id));
             }
             if previous.is_some_and(|previous| previous != address) {
                 ended.extend(self.pool.withdraw_all(event_loop, &id));
-                self.pool.all_leaving(&id);
+                self.pool.mark_all_leaving(&id);
             }
         }
         ended
     }
 
-    fn remove(&mut self, event_loop: &mut Hub, id: &WorkerId) -> Vec<Input> {
+    fn remove(&mut self, event_loop: &mut EventLoop, id: &WorkerId) -> Vec<Input> {
         self.addresses.remove(id);
         let ended = self.pool.withdraw_all(event_loop, id);
-        self.pool.all_leaving(id);
+        self.pool.mark_all_leaving(id);
         ended
     }
 
     /// Sends an attempt or an order on a connection to its worker; false if no connection is available.
     pub fn dispatch(
         &mut self,
-        event_loop: &mut Hub,
+        event_loop: &mut EventLoop,
         worker: &WorkerId,
-        cargo: Cargo,
+        cargo: Payload,
         message: &Message,
     ) -> bool {
         let Some(address) = self.addresses.get(worker).copied() else { return false };
@@ -106,41 +111,46 @@
         let write_frame = |out: &mut Vec<u8>| encode(message, out);
         let target = (worker, address);
         let connection =
-            self.pool.give(event_loop, &self.limits, target, (cargo, write_frame), |_| true, write_hello);
+            self.pool.dispatch(event_loop, &self.limits, target, (cargo, write_frame), |_| true, write_hello);
         let Some(connection) = connection else { return false };
         self.activity.entry(connection).or_insert(Activity { opened_at: now, last_received: now });
         true
     }
 
     /// Sends a message that is neither an attempt nor an order, if a connection is established.
-    pub fn send_if_connected(&mut self, event_loop: &mut Hub, worker: &WorkerId, message: &Message) {
-        self.pool.tell(event_loop, worker, |out| encode(message, out));
+    pub fn send_if_connected(&mut self, event_loop: &mut EventLoop, worker: &WorkerId, message: &Message) {
+        self.pool.send_control(event_loop, worker, |out| encode(message, out));
     }
 
     /// Cancels an attempt if no byte of it has been sent; returns whether it was canceled.
-    pub fn cancel_unsent(&mut self, event_loop: &mut Hub, attempt: u64) -> bool {
-        self.pool.withdraw(event_loop, attempt)
+    pub fn cancel_unsent(&mut self, event_loop: &mut EventLoop, attempt: u64) -> bool {
+        self.pool.cancel_if_unsent(event_loop, attempt)
     }
 
     /// Asks the worker to cancel an attempt.
-    pub fn cancel_attempt(&mut self, event_loop: &mut Hub, attempt: u64) {
+    pub fn cancel_attempt(&mut self, event_loop: &mut EventLoop, attempt: u64) {
         let message = Message::CancelRun { attempt };
-        self.pool.call_off(event_loop, attempt, |out| encode(&message, out));
+        self.pool.cancel(event_loop, attempt, |out| encode(&message, out));
     }
 
     /// Records that a connection was established.
-    pub fn connected(&mut self, event_loop: &Hub, connection: Connection) {
-        self.pool.stands(connection);
+    pub fn connected(&mut self, event_loop: &EventLoop, connection: Connection) {
+        self.pool.mark_established(connection);
         self.record_received(event_loop, connection);
     }
 
-    fn record_received(&mut self, event_loop: &Hub, connection: Connection) {
+    fn record_received(&mut self, event_loop: &EventLoop, connection: Connection) {
         let now = event_loop.clock().now();
         self.activity.entry(connection).and_modify(|activity| activity.last_received = now);
     }
 
     /// Handles a message of a worker; returns the engine's input for what it ends.
-    pub fn receive(&mut self, event_loop: &Hub, connection: Connection, message: Message) -> Option<Input> {
+    pub fn receive(
+        &mut self,
+        event_loop: &EventLoop,
+        connection: Connection,
+        message: Message,
+    ) -> Option<Input> {
         self.record_received(event_loop, connection);
         match message {
             Message::Ran { attempt, ending, crowd, body, origin } => {
@@ -151,9 +161,9 @@
                 let number = self.complete(event_loop, connection, order);
                 Some(Input::OrderEnded(number, OrderEnd::Answered(ending), standing))
             }
-            Message::Probed { .. } => self.pool.worker(connection).map(Input::Probed),
+            Message::Probed { .. } => self.pool.worker(connection).map(Input::ProbeAnswered),
             Message::GoingAway { .. } => {
-                self.pool.leaving(connection);
+                self.pool.mark_leaving(connection);
                 None
             }
             Message::Bye { reason } => {
@@ -166,9 +176,9 @@
 
     /// Completes the attempt or order of an answer and returns its number; 0 if the answer came on a
     /// connection other than the one it was sent on.
-    fn complete(&mut self, event_loop: &Hub, connection: Connection, number: u64) -> u64 {
+    fn complete(&mut self, event_loop: &EventLoop, connection: Connection, number: u64) -> u64 {
         let number = if self.pool.carries(connection, number) { number } else { 0 };
-        self.pool.done(event_loop, number);
+        self.pool.complete(event_loop, number);
         number
     }
 
@@ -183,7 +193,7 @@
     ) -> Vec<Input> {
         let opened = self.activity.remove(&connection).map(|activity| activity.opened_at);
         let received_since = opened.is_some_and(|opened| self.received_since(connection, opened));
-        let ended = self.pool.closed(connection, never_stood && !received_since, unsent);
+        let ended = self.pool.remove_closed(connection, never_stood && !received_since, unsent);
         if !ended.is_empty() {
             tracing::info!(%why, never_stood, ended = ended.len(), "worker connection closed");
         }
@@ -198,7 +208,7 @@
     }
 
     /// Closes connections without an attempt or order in flight for the idle timeout.
-    pub fn close_idle(&mut self, event_loop: &mut Hub) {
+    pub fn close_idle(&mut self, event_loop: &mut EventLoop) {
         self.pool.close_idle(event_loop, self.limits.idle);
     }
 }
--- a/crates/platform-wire/src/config.rs
+++ b/crates/platform-wire/src/config.rs
@@ -1,8 +1,8 @@
-//! Configuration of a gateway on the platform: JSON, read at the start and again on SIGHUP.
+//! Configuration of a gateway on the operators' platform: JSON, read at the start and again on SIGHUP.
 
 use std::net::SocketAddr;
 
-use cresswheel::{PairError, Pairs, Settings, SettingsError};
+use cresswheel::{SettingPairError, SettingPairs, Settings, SettingsError};
 use serde::Deserialize;
 use serde_json::Value;
 
@@ -25,10 +25,11 @@
     pub limits: Limits,
     /// Address of the directory.
     pub names: SocketAddr,
-    /// Directory events up to the start.
+    /// Events of the directory (numbered changes of its host list, or complete lists) up to the start.
     #[serde(default)]
     pub known: Known,
-    /// Settings in the simulator's format, nested.
+    /// The settings that the simulator gives to `cresswheel-simhost` as pairs such as
+    /// `limits.max_attempts=5`, here as nested objects.
     settings: Value,
 }
 
@@ -54,7 +55,7 @@
     Trailing(#[from] serde_json::Error),
     /// A setting is missing or invalid.
     #[error("configuration, settings: {0}")]
-    Setting(#[from] PairError),
+    Setting(#[from] SettingPairError),
     /// The settings contradict each other.
     #[error("configuration, {0}")]
     Inconsistent(#[from] SettingsError),
@@ -70,34 +71,45 @@
     }
 
     /// The settings as pairs of a path and a text.
-    pub fn pairs(&self) -> Pairs<'static> {
+    pub fn pairs(&self) -> SettingPairs<'static> {
         let mut pairs = Vec::new();
         flatten(String::new(), &self.settings, &mut pairs);
         pairs.into_iter().collect()
     }
 
-    /// The settings of the decision module.
+    /// The settings of the decision module (`cresswheel::Dispatcher`), checked.
     pub fn module(&self) -> Result<Settings, ConfigError> {
         let settings = self.pairs().settings()?;
         if settings.classes.is_empty() {
-            return Err(PairError::Absent("profiles".into()).into());
+            return Err(SettingPairError::Absent("profiles".into()).into());
         }
         settings.check()?;
+        // The names in the file may differ from those of the fields; `cresswheel::Settings` explains these.
         let durations = [
+            // The shortest time between two deliveries of events to the decision module.
             ("tick", settings.tick),
-            ("profiles, aim", settings.classes.iter().map(|class| class.aim).max().unwrap_or(0)),
-            ("profiles, give_up", settings.classes.iter().map(|class| class.give_up).max().unwrap_or(0)),
+            (
+                "profiles, aim",
+                settings.classes.iter().map(|class| class.latency_objective).max().unwrap_or(0),
+            ),
+            (
+                "profiles, give_up",
+                settings.classes.iter().map(|class| class.client_timeout).max().unwrap_or(0),
+            ),
+            // How long an idle instance stays loaded at least.
             ("specifics.keep_alive", settings.keep_alive),
             ("specifics.load_wait", settings.order_timeout),
             ("limits.connect_timeout", settings.connect_timeout),
             ("limits.max_retry_after", settings.max_retry_after),
             ("rules.drain_grace", settings.drain_grace),
-            ("rules.warm_up", settings.cold.warm_up),
-            ("rules.fall", settings.cold.window),
+            // After its start, a worker has its full capacity by this time.
+            ("rules.warm_up", settings.cold_start.warm_up),
+            // Overload for this long makes a cold worker's process collapse ("fall").
+            ("rules.fall", settings.cold_start.overload_window),
         ];
         match durations.into_iter().find(|(_, duration)| *duration > MAX_DURATION) {
             Some((path, duration)) => {
-                Err(PairError::Bad { path: path.into(), text: duration.to_string() }.into())
+                Err(SettingPairError::Bad { path: path.into(), text: duration.to_string() }.into())
             }
             None => Ok(settings),
         }
--- a/crates/platform-wire/src/directory.rs
+++ b/crates/platform-wire/src/directory.rs
@@ -3,7 +3,7 @@
 use std::collections::{HashMap, HashSet};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-use cresswheel_protocol::{Listed, Standing};
+use cresswheel_protocol::{ListedWorker, MemberState};
 use hickory_proto::op::{Message, MessageType, OpCode, Query, ResponseCode};
 use hickory_proto::rr::rdata::{A, SOA, SRV, TXT};
 use hickory_proto::rr::{Name, RData, Record, RecordType};
@@ -16,11 +16,11 @@
 
 /// The complete list of hosts as of an event.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Listing {
+pub struct HostList {
     /// Number of the last event.
     pub serial: u64,
     /// The hosts; one that is absent has left.
-    pub hosts: Vec<Listed>,
+    pub hosts: Vec<ListedWorker>,
 }
 
 /// An answer without a usable list: the previous list stays in force.
@@ -44,7 +44,7 @@
 }
 
 /// The query for the complete list, with this message id.
-pub fn query(id: u16) -> Result<Vec<u8>, DirectoryError> {
+pub fn encode_query(id: u16) -> Result<Vec<u8>, DirectoryError> {
     let mut message = Message::new(id, MessageType::Query, OpCode::Query);
     message.add_query(Query::query(service()?, RecordType::SRV));
     message.to_vec().map_err(invalid_message)
@@ -59,18 +59,18 @@
 }
 
 /// Encodes a list as a directory answers it, for stand-ins and measurements.
-pub fn encode_listing(id: u16, listing: &Listing) -> Result<Vec<u8>, DirectoryError> {
+pub fn encode_host_list(id: u16, listing: &HostList) -> Result<Vec<u8>, DirectoryError> {
     let service = service()?;
     let name = |text: &str| Name::from_ascii(text).map_err(invalid_message);
     let mut message = Message::new(id, MessageType::Response, OpCode::Query);
     message.metadata.response_code = ResponseCode::NoError;
     message.add_query(Query::query(service.clone(), RecordType::SRV));
-    for host in listing.hosts.iter().filter(|host| host.standing != Standing::Out) {
+    for host in listing.hosts.iter().filter(|host| host.standing != MemberState::Removed) {
         let target = name(&format!("{}.{}.hosts.", host.id, host.zone))?;
         let address: SocketAddrV4 =
             host.address.parse().map_err(|_| DirectoryError::InvalidRecord("A or SRV address"))?;
         let srv =
-            SRV::new(u16::from(host.standing == Standing::Draining), 40, address.port(), target.clone());
+            SRV::new(u16::from(host.standing == MemberState::Draining), 40, address.port(), target.clone());
         message.add_answer(Record::from_rdata(service.clone(), 1, RData::SRV(srv)));
         message.add_additional(Record::from_rdata(target.clone(), 1, RData::A(A(*address.ip()))));
         let kind = format!("kind={}", host.kind);
@@ -84,12 +84,12 @@
 }
 
 /// Message id of an answer, which finds the matching query.
-pub fn answer_id(bytes: &[u8]) -> Option<u16> {
+pub fn message_id(bytes: &[u8]) -> Option<u16> {
     bytes.first_chunk::<2>().map(|id| u16::from_be_bytes(*id))
 }
 
-/// Decodes an answer to [`query`]; the caller checks its message id.
-pub fn answer(bytes: &[u8]) -> Result<Listing, DirectoryError> {
+/// Decodes an answer to [`encode_query`]; the caller checks its message id.
+pub fn decode_answer(bytes: &[u8]) -> Result<HostList, DirectoryError> {
     let message = Message::from_vec(bytes).map_err(invalid_message)?;
     let service = service()?;
     let is_ours = |query: &Query| query.query_type() == RecordType::SRV && query.name() == &service;
@@ -131,7 +131,7 @@
         let mut labels = srv.target.iter().map(|label| String::from_utf8_lossy(label).into_owned());
         let id =
             labels.next().filter(|id| !id.is_empty()).ok_or(DirectoryError::InvalidRecord("SRV target"))?;
-        hosts.push(Listed {
+        hosts.push(ListedWorker {
             id,
             address: format!("{address}:{}", srv.port),
             zone: labels.next().unwrap_or_default(),
@@ -140,8 +140,8 @@
                 .and_then(|v| v.parse().ok())
                 .ok_or(DirectoryError::InvalidRecord("TXT cell"))?,
             standing: match srv.priority {
-                0 => Standing::In,
-                1 => Standing::Draining,
+                0 => MemberState::Active,
+                1 => MemberState::Draining,
                 _ => return Err(DirectoryError::InvalidRecord("SRV priority")),
             },
             started: micros(value("started").and_then(|v| v.parse().ok()).unwrap_or(0)),
@@ -150,7 +150,7 @@
             return Err(DirectoryError::InvalidRecord("too many hosts"));
         }
     }
-    Ok(Listing { serial, hosts })
+    Ok(HostList { serial, hosts })
 }
 
 /// Converts milliseconds since 1970 to the program's microseconds; 0: long ago.
@@ -170,8 +170,8 @@
 
 impl Known {
     /// The list as of the last event.
-    pub fn listing(&self) -> Listing {
-        let mut hosts: Vec<Listed> = Vec::new();
+    pub fn listing(&self) -> HostList {
+        let mut hosts: Vec<ListedWorker> = Vec::new();
         for event in &self.entries {
             if event.hosts.complete {
                 hosts.clear();
@@ -179,9 +179,9 @@
             let named: HashSet<&str> = event.hosts.members.iter().map(|member| member.id.as_str()).collect();
             hosts.retain(|host| !named.contains(host.id.as_str()));
             let listed = event.hosts.members.iter().map(Member::listed);
-            hosts.extend(listed.filter(|host| host.standing != Standing::Out));
+            hosts.extend(listed.filter(|host| host.standing != MemberState::Removed));
         }
-        Listing { serial: self.pos, hosts }
+        HostList { serial: self.pos, hosts }
     }
 }
 
@@ -223,17 +223,17 @@
 
 impl Member {
     /// Converts it to an entry of the worker list.
-    pub fn listed(&self) -> Listed {
-        Listed {
+    pub fn listed(&self) -> ListedWorker {
+        ListedWorker {
             id: self.id.clone(),
             address: self.host_port.clone(),
             zone: self.locality.clone(),
             kind: self.flavor.clone(),
             cell: self.cell,
             standing: match self.phase.as_str() {
-                "Ready" => Standing::In,
-                "Terminating" => Standing::Draining,
-                _ => Standing::Out,
+                "Ready" => MemberState::Active,
+                "Terminating" => MemberState::Draining,
+                _ => MemberState::Removed,
             },
             started: micros(self.up_since_ms),
         }
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -1,89 +1,89 @@
-//! From the platform's configuration to what the rooms below are told. No figure here decides about a call; they
-//! share out descriptors, memory and time.
+//! Derives the settings of the lower crates from the platform's configuration. None of these values decides
+//! about a call; they divide descriptors, memory and time.
 
 use std::net::SocketAddr;
 
 use cresswheel::Micros;
-use cresswheel_admission::DoorLimits;
+use cresswheel_admission::ConnectionLimits;
 use cresswheel_carriers::CarrierLimits;
 use cresswheel_engine::{AdmissionLimits, EngineSettings, ResultLimits};
 use cresswheel_platform_wire::config::{Config, ConfigError};
-use cresswheel_transport::{HubLimits, Wire};
+use cresswheel_transport::{EventLoopLimits, Wire};
 use rustix::process::{Resource, getrlimit};
 
-use crate::hosts::Late;
+use crate::hosts::DuplicateWindows;
 
-const S: Micros = 1_000_000;
-const MS: Micros = 1_000;
+const SECOND: Micros = 1_000_000;
+const MILLISECOND: Micros = 1_000;
 
-/// Open requests of one connection; the protocol's figure.
-pub const PER_CONNECTION: usize = 32;
-/// Hosts are taken to end idle connections as soon as clients do, where the settings don't say.
-const IDLE_UNLESS_STATED: Micros = 4 * S;
-/// Descriptors of the program itself: loop, listener, directory, logs, and one to refuse with.
-const OWN: usize = 24;
-/// Hosts that descriptors are set aside for at least; a list may name more later.
+/// Maximum open requests per connection (protocol).
+pub const REQUESTS_PER_CONNECTION: usize = 32;
+/// Idle timeout of host connections where the settings give none: assumed equal to that of clients.
+const DEFAULT_HOST_IDLE: Micros = 4 * SECOND;
+/// Descriptors for the event loop, listener, directory and logs, and one to refuse connections with.
+const RESERVED_DESCRIPTORS: usize = 24;
+/// Minimum number of hosts to reserve descriptors for; a list may name more.
 const HOSTS_EXPECTED: usize = 16;
-/// An open request takes about so many bytes at most, its body and its answer included.
+/// Approximate maximum memory of an open request, with its body and answer.
 const REQUEST_BYTES: usize = 48 << 10;
 
-/// A message that is not whole is given up when nothing of it came for so long.
-const HALF_SILENT: Micros = 5 * S / 4;
-/// While it goes on coming it may take as long as a client waits for its answer, within these.
-const HALF_AT_LEAST: Micros = 2 * HALF_SILENT;
-const HALF_AT_MOST: Micros = 10 * S;
+/// Timeout of an incomplete message while nothing of it arrives.
+const PARTIAL_SILENT: Micros = 5 * SECOND / 4;
+/// Limits of the total timeout of an incomplete message, which is otherwise the longest client timeout.
+const MIN_PARTIAL: Micros = 2 * PARTIAL_SILENT;
+const MAX_PARTIAL: Micros = 10 * SECOND;
 
-/// What the module and the engine keep of a function, about.
+/// Approximate memory per function in the decision module and the engine.
 const FUNCTION_BYTES: usize = 2 << 10;
 
-/// What a gateway on the platform is told.
+/// Settings of a gateway on the platform.
 #[derive(Clone, Debug)]
 pub struct PlatformSettings {
-    /// Its name, for logs.
+    /// Gateway name, for logs.
     pub name: String,
-    /// Where clients connect.
+    /// Address for clients.
     pub listen: SocketAddr,
-    /// Where the directory is asked.
+    /// Address of the directory.
     pub directory: SocketAddr,
-    /// Makes its random numbers.
+    /// Seed of the random numbers.
     pub seed: u64,
     /// The engine and the decision module.
     pub engine: EngineSettings,
-    /// Clients' connections.
-    pub door: DoorLimits,
-    /// Connections to hosts.
+    /// Limits of client connections.
+    pub connection_limits: ConnectionLimits,
+    /// Limits of connections to hosts.
     pub carriers: CarrierLimits,
-    /// Connections to all hosts together.
+    /// Connection limit over all hosts.
     pub host_connections: usize,
-    /// How late a second copy of a host's answer is reckoned with.
-    pub late: Late,
-    /// How often idle connections to hosts are looked for.
-    pub look: Micros,
-    /// Sockets.
-    pub hub: HubLimits,
-    /// After TERM, requests are taken for this long.
-    pub take_for: Micros,
-    /// After TERM, what is open then is answered at the latest.
-    pub stop_within: Micros,
+    /// How long after an answer a duplicate of it may arrive.
+    pub duplicate_windows: DuplicateWindows,
+    /// Interval of the check for idle connections to hosts.
+    pub idle_check: Micros,
+    /// Limits of the event loop.
+    pub event_loop: EventLoopLimits,
+    /// How long requests are accepted after TERM.
+    pub accept_after_term: Micros,
+    /// Deadline for open requests after TERM.
+    pub stop_timeout: Micros,
 }
 
 impl PlatformSettings {
-    /// Reads them out of a configuration.
+    /// Derives the settings from a configuration.
     pub fn of(config: &Config) -> Result<Self, ConfigError> {
         let pairs = config.pairs();
         let mut module = config.module()?;
-        let give_up = module.classes.iter().map(|class| class.give_up).max().unwrap_or(S);
-        let aim = module.classes.iter().map(|class| class.aim).min().unwrap_or(S);
-        // Not stated is not at once: a connection that takes longer than the shortest aim is of no use to a call, and
-        // no call waits longer for a load than for itself.
-        let unless_stated = |span: Micros, other: Micros| if span > 0 { span } else { other };
-        module.connect_timeout = unless_stated(module.connect_timeout, aim);
-        module.order_timeout = unless_stated(module.order_timeout, give_up);
+        let give_up = module.classes.iter().map(|class| class.client_timeout).max().unwrap_or(SECOND);
+        let aim = module.classes.iter().map(|class| class.latency_objective).min().unwrap_or(SECOND);
+        // A missing timeout is not zero: a connect that takes longer than the shortest latency objective is
+        // of no use to a call, and no call waits longer for a load than for itself.
+        let or_default = |span: Micros, default: Micros| if span > 0 { span } else { default };
+        module.connect_timeout = or_default(module.connect_timeout, aim);
+        module.order_timeout = or_default(module.order_timeout, give_up);
         let memory = (config.limits.memory_mb as usize) << 20;
-        let (clients, host_connections) = share(config.limits.sockets.min(descriptors_allowed()));
+        let (clients, host_connections) = split_descriptors(config.limits.sockets.min(descriptors_allowed()));
         let open_calls = pairs.or("limits.max_open", usize::MAX)?.min(memory / 4 / REQUEST_BYTES).max(64);
-        let idle_close: Micros = pairs.or("limits.idle_close", IDLE_UNLESS_STATED)?;
-        let answer_margin = (2 * module.tick).max(10 * MS);
+        let idle_close: Micros = pairs.or("limits.idle_close", DEFAULT_HOST_IDLE)?;
+        let answer_margin = (2 * module.tick).max(10 * MILLISECOND);
         let connect_timeout = module.connect_timeout;
         Ok(Self {
             name: config.name.clone(),
@@ -91,72 +91,77 @@
             directory: config.names,
             seed: config.seed(),
             engine: EngineSettings {
-                module,
+                dispatcher: module,
                 admission: AdmissionLimits {
                     open_calls,
                     open_bytes: memory / 4,
-                    per_connection: PER_CONNECTION,
+                    per_connection: REQUESTS_PER_CONNECTION,
                     functions: (memory / 8 / FUNCTION_BYTES).max(1_000),
                 },
                 results: ResultLimits { keep: 0, bytes: 0 },
                 answer_margin,
-                most_time: give_up.saturating_mul(10),
+                max_time: give_up.saturating_mul(10),
                 deferred_time: give_up,
             },
-            door: DoorLimits {
+            connection_limits: ConnectionLimits {
                 connections: clients,
                 accepts_per_s: 2_000,
-                evict_after: 200 * MS,
-                unasked: 5 * S / 4,
-                idle: 30 * S,
-                half: give_up.clamp(HALF_AT_LEAST, HALF_AT_MOST),
-                half_silent: HALF_SILENT,
+                evict_after: 200 * MILLISECOND,
+                unasked: 5 * SECOND / 4,
+                idle: 30 * SECOND,
+                half: give_up.clamp(MIN_PARTIAL, MAX_PARTIAL),
+                half_silent: PARTIAL_SILENT,
                 half_connections: (clients / 4).max(1),
                 half_bytes: memory / 8,
-                stall: 2 * S,
+                stall: 2 * SECOND,
                 pings_per_s: 0,
-                ..DoorLimits::default()
+                ..ConnectionLimits::default()
             },
             carriers: CarrierLimits {
                 wire: Wire::Raw,
                 connections: (host_connections / HOSTS_EXPECTED).clamp(1, 16),
-                streams: pairs.or("limits.max_streams", PER_CONNECTION)?,
+                streams: pairs.or("limits.max_streams", REQUESTS_PER_CONNECTION)?,
                 spread: 1,
                 connect_timeout,
                 idle: idle_close * 4 / 5,
             },
             host_connections,
-            late: Late { unsafe_calls: give_up, others: aim },
-            // Often enough that none stands idle for as long as the host waits.
-            look: (idle_close / 10).clamp(20 * MS, 500 * MS),
-            hub: HubLimits { out: 1 << 20, accepted: usize::MAX, ..HubLimits::default() },
-            take_for: 750 * MS,
-            stop_within: give_up.min(3 * S) + 300 * MS,
+            duplicate_windows: DuplicateWindows { unsafe_calls: give_up, others: aim },
+            // Often enough that no connection is idle for as long as the host's timeout.
+            idle_check: (idle_close / 10).clamp(20 * MILLISECOND, 500 * MILLISECOND),
+            event_loop: EventLoopLimits {
+                max_output: 1 << 20,
+                accepted: usize::MAX,
+                ..EventLoopLimits::default()
+            },
+            accept_after_term: 750 * MILLISECOND,
+            stop_timeout: give_up.min(3 * SECOND) + 300 * MILLISECOND,
         })
     }
 }
 
 impl PlatformSettings {
-    /// Whether these are of the same gateway of the same customer: name, address and classes stay while it runs.
+    /// Whether these belong to the same gateway of the same customer: name, address and classes can't change
+    /// while it runs.
     pub fn is_same_gateway(&self, other: &Self) -> bool {
         let classes = |settings: &Self| -> Vec<String> {
-            settings.engine.module.classes.iter().map(|class| class.name.clone()).collect()
+            settings.engine.dispatcher.classes.iter().map(|class| class.name.clone()).collect()
         };
         self.name == other.name && self.listen == other.listen && classes(self) == classes(other)
     }
 }
 
-/// Descriptors that the system lets this process open, whatever the configuration says: clients that filled them all
-/// would leave none for hosts and the directory.
+/// The process's descriptor limit, whatever the configuration says: clients that used all descriptors would
+/// leave none for hosts and the directory.
 fn descriptors_allowed() -> usize {
     let limit = getrlimit(Resource::Nofile).current;
     limit.map_or(usize::MAX, |limit| usize::try_from(limit).unwrap_or(usize::MAX))
 }
 
-/// Descriptors of clients and of hosts. Usual clients hold a third of all at most; more places keep theirs free when
-/// others come by the hundred.
-fn share(descriptors: usize) -> (usize, usize) {
-    let free = descriptors.saturating_sub(OWN);
+/// Divides descriptors between clients and hosts. Clients normally use at most a third of all; the rest of
+/// their half absorbs bursts of hundreds of new connections.
+fn split_descriptors(descriptors: usize) -> (usize, usize) {
+    let free = descriptors.saturating_sub(RESERVED_DESCRIPTORS);
     let clients = free / 2;
     (clients.max(1), (free - clients).max(1))
 }
@@ -166,12 +171,12 @@
     use super::*;
 
     #[test]
-    fn descriptors_are_shared_out_and_never_more_than_there_are() {
+    fn descriptors_are_divided_within_the_limit() {
         for limit in [0, 30, 256, 1_024, 4_096] {
-            let (clients, hosts) = share(limit);
-            assert!(clients + hosts + OWN <= limit.max(OWN + 2));
+            let (clients, hosts) = split_descriptors(limit);
+            assert!(clients + hosts + RESERVED_DESCRIPTORS <= limit.max(RESERVED_DESCRIPTORS + 2));
         }
-        let (clients, hosts) = share(256);
+        let (clients, hosts) = split_descriptors(256);
         assert!(clients >= 256 / 3 && hosts / HOSTS_EXPECTED >= 7);
     }
 }
--- a/crates/platform/src/shell.rs
+++ b/crates/platform/src/shell.rs
@@ -1,4 +1,4 @@
-//! The loop of a gateway on the platform.
+//! The event loop of a gateway on the platform.
 
 use std::collections::VecDeque;
 use std::io;
@@ -11,47 +11,48 @@
 use cresswheel_engine::{Answer, Attempt, AttemptEnd, Call, Client, Engine, Input, Output};
 use cresswheel_platform_wire::client::{Code, Request};
 use cresswheel_platform_wire::config::Config;
-use cresswheel_protocol::{Standing, Status};
-use cresswheel_transport::{Connection, Hub, Notice, Wire, listener};
+use cresswheel_protocol::{MemberState, Status};
+use cresswheel_transport::{Connection, EventLoop, LoopEvent, Wire, listener};
 
 use crate::PlatformSettings;
-use crate::departures::{Departures, Work};
+use crate::departures::{Item, UnsentItems};
 use crate::directory::{self, Directory};
-use crate::front::{Ask, Front};
+use crate::front::{ClientConnections, ClientEvent};
 use crate::hosts::{Hosts, Order};
-use crate::lateness::Lateness;
-use crate::waiting::Waiting;
+use crate::lateness::LoopLag;
+use crate::waiting::DeferredRequests;
 
-/// Reads the configuration again, for HUP.
+/// Rereads the configuration on HUP.
 pub type Reload = Box<dyn FnMut() -> Result<Config, String>>;
 
-/// How long a port that is in use is waited for at the start: a gateway that was killed a moment ago had it.
-const BIND_WITHIN: Duration = Duration::from_secs(2);
-const BIND_AGAIN: Duration = Duration::from_millis(20);
-/// How often a line of counts is logged.
-const TELL: Micros = 10_000_000;
-/// After the last time for answers, how long they may take to leave.
-const LEAVE_WITHIN: Micros = 250_000;
-/// Meanwhile it is looked that often what has left.
-const FLUSH_LOOK: Micros = 5_000;
+/// How long startup retries to bind a port that is in use, as by a gateway that was killed a moment ago.
+const BIND_TIMEOUT: Duration = Duration::from_secs(2);
+const BIND_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Interval between log lines with counts.
+const COUNTS_INTERVAL: Micros = 10_000_000;
+/// How long answers may take to leave after the deadline for answers.
+const FLUSH_TIMEOUT: Micros = 250_000;
+/// Interval at which flushing is checked.
+const FLUSH_POLL_INTERVAL: Micros = 5_000;
 
-/// A client that has gone is owed no further attempt 0.1 s later: what is begun leaves within half of that after the
-/// last look at the clients.
-const LONG_TURN: Micros = 50_000;
-/// A standstill of the process shows by a sleep that ends late. One that is shorter than the sleep does not, and what
-/// came meanwhile counts as later by as much: less than the 0.15 s by which a deadline passed to a host may be late.
-const LONGEST_SLEEP: Micros = 100_000;
-/// However much they say, so many looks are taken before the work goes on.
-const HEAR_AT_MOST: u32 = 64;
+/// No attempt may start later than 0.1 s after its client left: attempts are written within half of that
+/// after client sockets were last polled.
+const LONG_ITERATION: Micros = 50_000;
+/// A pause of the process is detected by a sleep that ends late. A pause shorter than the sleep goes
+/// unnoticed and makes input received meanwhile look newer by as much: less than the 0.15 s by which a
+/// deadline passed to a host may be late.
+const MAX_SLEEP: Micros = 100_000;
+/// Maximum number of extra reads before normal processing continues.
+const MAX_EXTRA_READS: u32 = 64;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Life {
+enum Phase {
     Running,
-    /// TERM came then. Requests are still taken for a while.
-    Leaving(Micros),
-    /// Nothing is taken any more, and what is open is answered; TERM came then.
+    /// TERM was received at this time. Requests are still accepted for a while.
+    Draining(Micros),
+    /// TERM was received at this time. No new requests are accepted; open ones are completed.
     Stopping(Micros),
-    /// All is answered. What waits to be written may leave until then, and clients may close their connections.
+    /// Every request is answered. Until this time, pending output may be written and clients may close.
     Flushing(Micros),
 }
 
@@ -59,41 +60,41 @@
 pub struct Platform {
     settings: PlatformSettings,
     reload: Reload,
-    hub: Hub,
+    hub: EventLoop,
     engine: Engine,
-    front: Front,
+    clients: ClientConnections,
     hosts: Hosts,
     directory: Directory,
-    departures: Departures,
+    unsent_items: UnsentItems,
     address: SocketAddr,
-    look: Micros,
-    tell: Micros,
-    lateness: Lateness,
-    /// Requests that were read while only those who leave were listened for.
-    waiting: Waiting,
+    next_idle_check: Micros,
+    next_counts: Micros,
+    loop_lag: LoopLag,
+    /// Requests read while only cancellations and disconnects were being processed.
+    deferred: DeferredRequests,
     inputs: VecDeque<Input>,
     outputs: Vec<Output>,
-    life: Life,
+    phase: Phase,
 }
 
 impl Platform {
-    /// Takes the signals, listens, and learns the list that the configuration holds.
+    /// Installs signal handlers, listens, and applies the host list in the configuration.
     pub fn start(config: &Config, reload: Reload) -> anyhow::Result<Self> {
         let settings = PlatformSettings::of(config)?;
         tracing::info!(
             name = settings.name,
-            clients = settings.door.connections,
+            clients = settings.connection_limits.connections,
             carriers = ?settings.carriers,
             open_calls = settings.engine.admission.open_calls,
             "starts"
         );
-        let mut hub = Hub::new(settings.hub).context("event loop")?;
-        // Before anybody can know of this process: a signal without its handler would end it.
+        let mut hub = EventLoop::new(settings.event_loop).context("event loop")?;
+        // Before the process becomes reachable: a signal without its handler would end it.
         hub.signals(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP]).context("signals")?;
-        hub.leave_within(LONG_TURN);
+        hub.leave_within(LONG_ITERATION);
         let now = hub.clock().now();
         let mut engine = Engine::new(settings.engine.clone(), settings.seed ^ now)?;
-        let module = &settings.engine.module;
+        let module = &settings.engine.dispatcher;
         let directory = Directory::new(
             now,
             settings.directory,
@@ -101,108 +102,110 @@
             settings.seed,
             module.drain_grace,
         );
-        engine.hold_to_list_age(directory::terms(module.drain_grace, module.may_probe), directory.age());
+        engine.limit_list_age(directory::terms(module.drain_grace, module.may_probe), directory.age());
         let mut gateway = Self {
-            front: Front::new(now, settings.door),
-            hosts: Hosts::new(settings.carriers, settings.host_connections, settings.late),
+            clients: ClientConnections::new(now, settings.connection_limits),
+            hosts: Hosts::new(settings.carriers, settings.host_connections, settings.duplicate_windows),
             directory,
-            departures: Departures::default(),
+            unsent_items: UnsentItems::default(),
             address: settings.listen,
-            look: now + settings.look,
-            tell: now + TELL,
-            lateness: Lateness::default(),
-            waiting: Waiting::default(),
+            next_idle_check: now + settings.idle_check,
+            next_counts: now + COUNTS_INTERVAL,
+            loop_lag: LoopLag::default(),
+            deferred: DeferredRequests::default(),
             inputs: VecDeque::new(),
             outputs: Vec::new(),
-            life: Life::Running,
+            phase: Phase::Running,
             reload,
             hub,
             engine,
             settings,
         };
-        gateway.take_list();
-        let socket = bind(gateway.settings.listen)?;
+        gateway.apply_list();
+        let socket = bind_listener(gateway.settings.listen)?;
         gateway.address = socket.local_addr()?.as_socket().context("listen")?;
         gateway.hub.adopt_listener(socket.into(), Wire::Raw)?;
         Ok(gateway)
     }
 
-    /// Where it listens.
+    /// The listening address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Runs until a signal ends it, all requests answered.
+    /// Runs until a signal stops it and all requests are answered.
     pub fn run(&mut self) -> io::Result<()> {
         loop {
             let now = self.hub.clock().now();
-            if self.live(now) {
+            if self.advance_shutdown(now) {
                 return Ok(());
             }
             if self.directory.tick(&mut self.hub, now) {
-                self.give(Input::ListAge(self.directory.age()));
+                self.feed_engine(Input::ListAge(self.directory.age()));
             }
-            self.clear_departures();
-            let due = if self.waiting.is_empty() { self.next_due(now) } else { now };
-            self.hub.wait(Some(due.min(now + LONGEST_SLEEP)))?;
-            self.departures.wrote(self.hub.wrote(), &self.hub, &self.hosts, &mut self.engine);
-            while let Some(ask) = self.waiting.take() {
-                self.asked(ask);
+            self.recheck_unsent_items();
+            let due = if self.deferred.is_empty() { self.next_due(now) } else { now };
+            self.hub.wait(Some(due.min(now + MAX_SLEEP)))?;
+            self.unsent_items.after_write(self.hub.wrote(), &self.hub, &self.hosts, &mut self.engine);
+            while let Some(event) = self.deferred.take() {
+                self.handle_event(event);
             }
-            while let Some(notice) = self.hub.take_notice() {
-                self.notice(notice);
-                while let Some(ask) = self.front.take_ask() {
-                    self.asked(ask);
+            while let Some(notice) = self.hub.next_event() {
+                self.handle_notice(notice);
+                while let Some(event) = self.clients.take_event() {
+                    self.handle_event(event);
                 }
             }
-            self.hear_news()?;
+            self.read_late_events()?;
             let now = self.hub.clock().now();
             if let Some(due) = self.engine.wake_at().filter(|at| *at <= now) {
-                self.lateness.saw(now, due);
-                self.give(Input::Wake);
+                self.loop_lag.record(now, due);
+                self.feed_engine(Input::Wake);
             }
-            self.front.tick(&mut self.hub);
-            if self.look <= now {
-                self.look = now + self.settings.look;
-                self.hosts.tidy(&mut self.hub);
+            self.clients.tick(&mut self.hub);
+            if self.next_idle_check <= now {
+                self.next_idle_check = now + self.settings.idle_check;
+                self.hosts.expire(&mut self.hub);
                 let mut bounds = self.settings.engine.clone();
-                bounds.answer_margin = self.lateness.margin(self.settings.engine.answer_margin);
-                self.engine.change_bounds(&bounds);
+                bounds.answer_margin = self.loop_lag.margin(self.settings.engine.answer_margin);
+                self.engine.update_limits(&bounds);
             }
-            if self.tell <= now {
-                self.tell = now + TELL;
-                self.tell_counts();
+            if self.next_counts <= now {
+                self.next_counts = now + COUNTS_INTERVAL;
+                self.log_counts();
             }
         }
     }
 
-    /// Right before the hub writes: what may no longer leave for its host is taken back. What the module sends instead
-    /// is asked about as well, so this goes on until nothing is taken back; a call's attempts are counted.
-    fn clear_departures(&mut self) {
+    /// Right before the hub writes, cancels whatever may no longer be sent to its host. Replacement attempts
+    /// of the decision module are checked too, so this repeats until nothing is canceled; attempts per call
+    /// are limited, so it ends.
+    fn recheck_unsent_items(&mut self) {
         loop {
             let now = self.hub.clock().now();
-            let ended = self.departures.clear(now, &mut self.hub, &mut self.hosts, &mut self.engine);
+            let ended = self.unsent_items.recheck(now, &mut self.hub, &mut self.hosts, &mut self.engine);
             if ended.is_empty() {
                 return;
             }
-            ended.into_iter().for_each(|input| self.give(input));
+            ended.into_iter().for_each(|input| self.feed_engine(input));
         }
     }
 
-    /// What was begun in this turn leaves with the next one. A client that has gone by then must be known of, so after
-    /// a long turn, or with more to read than one turn reads, the clients are listened to once more: who leaves or
-    /// takes back is heard at once, and new requests wait. So is the directory: what it tells counts as told.
-    fn hear_news(&mut self) -> io::Result<()> {
-        for _ in 0..HEAR_AT_MOST {
-            if !self.hub.is_behind(LONG_TURN) || self.waiting.is_full() {
+    /// Output of this iteration is written in the next one, and a client that has left by then must be known.
+    /// So after a long iteration, or with more input than one iteration reads, client sockets are read again:
+    /// cancellations and disconnects take effect at once, new requests wait. The directory's socket is read
+    /// too, as its answers count as notified.
+    fn read_late_events(&mut self) -> io::Result<()> {
+        for _ in 0..MAX_EXTRA_READS {
+            if !self.hub.is_behind(LONG_ITERATION) || self.deferred.is_full() {
                 break;
             }
             self.hub.hear()?;
-            while let Some(notice) = self.hub.take_notice() {
-                self.notice(notice);
-                while let Some(ask) = self.front.take_ask() {
-                    if let Some(ask) = self.waiting.hear(ask) {
-                        self.asked(ask);
+            while let Some(notice) = self.hub.next_event() {
+                self.handle_notice(notice);
+                while let Some(event) = self.clients.take_event() {
+                    if let Some(event) = self.deferred.push(event) {
+                        self.handle_event(event);
                     }
                 }
             }
@@ -210,24 +213,24 @@
         Ok(())
     }
 
-    /// What the way to the end asks for now; true: it is reached.
-    fn live(&mut self, now: Micros) -> bool {
-        match self.life {
-            Life::Leaving(since) if since + self.settings.take_for <= now => {
-                self.front.shut(&mut self.hub);
-                self.give(Input::Drain);
-                self.life = Life::Stopping(since);
+    /// Advances the shutdown; true once it is complete.
+    fn advance_shutdown(&mut self, now: Micros) -> bool {
+        match self.phase {
+            Phase::Draining(since) if since + self.settings.accept_after_term <= now => {
+                self.clients.stop_accepting(&mut self.hub);
+                self.feed_engine(Input::Drain);
+                self.phase = Phase::Stopping(since);
             }
-            Life::Stopping(since)
-                if self.engine.open_calls() == 0 || since + self.settings.stop_within <= now =>
+            Phase::Stopping(since)
+                if self.engine.open_calls() == 0 || since + self.settings.stop_timeout <= now =>
             {
-                self.give(Input::Stop);
-                self.life = Life::Flushing(since + self.settings.stop_within + LEAVE_WITHIN);
+                self.feed_engine(Input::Stop);
+                self.phase = Phase::Flushing(since + self.settings.stop_timeout + FLUSH_TIMEOUT);
             }
-            Life::Flushing(until)
-                if until <= now || self.waiting.is_empty() && self.front.finish_all(&mut self.hub) =>
+            Phase::Flushing(until)
+                if until <= now || self.deferred.is_empty() && self.clients.close_idle(&mut self.hub) =>
             {
-                self.tell_counts();
+                self.log_counts();
                 tracing::info!("stopped");
                 return true;
             }
@@ -237,124 +240,130 @@
     }
 
     fn next_due(&self, now: Micros) -> Micros {
-        let life = match self.life {
-            Life::Running => None,
-            Life::Leaving(since) => Some(since + self.settings.take_for),
-            Life::Stopping(since) => Some(since + self.settings.stop_within),
-            Life::Flushing(until) => Some(until.min(now + FLUSH_LOOK)),
+        let phase = match self.phase {
+            Phase::Running => None,
+            Phase::Draining(since) => Some(since + self.settings.accept_after_term),
+            Phase::Stopping(since) => Some(since + self.settings.stop_timeout),
+            Phase::Flushing(until) => Some(until.min(now + FLUSH_POLL_INTERVAL)),
         };
-        let (engine, front) = (self.engine.wake_at(), self.front.next_due(now));
-        let dues = [life, engine, front, self.departures.next_due(now), Some(self.directory.next_due())];
-        dues.into_iter().flatten().chain([self.look, self.tell]).min().unwrap_or(self.look)
+        let (engine, clients) = (self.engine.wake_at(), self.clients.next_due(now));
+        let dues = [phase, engine, clients, self.unsent_items.next_due(now), Some(self.directory.next_due())];
+        dues.into_iter()
+            .flatten()
+            .chain([self.next_idle_check, self.next_counts])
+            .min()
+            .unwrap_or(self.next_idle_check)
     }
 
-    /// A request could be served.
+    /// Whether a request could be served.
     fn is_ready(&self) -> bool {
-        self.life == Life::Running && self.engine.workers().any(|worker| worker.standing == Standing::In)
+        self.phase == Phase::Running
+            && self.engine.workers().any(|worker| worker.standing == MemberState::Active)
     }
 
-    fn notice(&mut self, notice: Notice) {
+    fn handle_notice(&mut self, notice: LoopEvent) {
         let is_ready = self.is_ready();
-        let Some(notice) = self.front.notice(&mut self.hub, is_ready, notice) else { return };
+        let Some(notice) = self.clients.notice(&mut self.hub, is_ready, notice) else { return };
         match notice {
-            Notice::Connected(connection) => self.hosts.stands(&self.hub, connection),
-            Notice::Bytes(connection, bytes) if self.hosts.is_ours(connection) => {
-                let ended = self.hosts.bytes(&mut self.hub, connection, &bytes);
-                ended.into_iter().for_each(|input| self.give(input));
+            LoopEvent::Connected(connection) => self.hosts.connected(&self.hub, connection),
+            LoopEvent::Bytes(connection, bytes) if self.hosts.is_host_connection(connection) => {
+                let ended = self.hosts.receive(&mut self.hub, connection, &bytes);
+                ended.into_iter().for_each(|input| self.feed_engine(input));
             }
-            Notice::Closed { connection, guest: false, never_stood, unsent, why } => {
+            LoopEvent::Closed { connection, is_inbound: false, never_stood, unsent, why } => {
                 let host = self.hosts.host(connection);
                 let ended = self.hosts.closed(connection, never_stood, &unsent, &why);
                 if !ended.is_empty() {
                     let host = host.map(tracing::field::display);
-                    tracing::info!(host, connection, %why, never_stood, ended = ended.len(), "a host's connection ended");
+                    tracing::info!(host, connection, %why, never_stood, ended = ended.len(), "connection to a host ended");
                 }
-                ended.into_iter().for_each(|input| self.give(input));
+                ended.into_iter().for_each(|input| self.feed_engine(input));
             }
-            Notice::Datagram(socket, bytes) if self.directory.is_ours(socket) => {
+            LoopEvent::Datagram(socket, bytes) if self.directory.is_ours(socket) => {
                 let is_new = self.directory.answered(self.hub.clock().now(), &bytes);
-                self.give(Input::ListAge(self.directory.age()));
+                self.feed_engine(Input::ListAge(self.directory.age()));
                 if is_new {
-                    self.take_list();
+                    self.apply_list();
                 }
-                self.give(Input::ListDisputed(self.directory.disputed()));
+                self.feed_engine(Input::WorkersDisputed(self.directory.disputed()));
             }
-            Notice::Signal(Signal::SIGHUP) => self.read_again(),
-            Notice::Signal(signal) if self.life == Life::Running => {
+            LoopEvent::Signal(Signal::SIGHUP) => self.reload_configuration(),
+            LoopEvent::Signal(signal) if self.phase == Phase::Running => {
                 tracing::info!(?signal, open = self.engine.open_calls(), "stopping");
-                self.front.leave(&mut self.hub);
-                self.life = Life::Leaving(self.hub.clock().now());
+                self.clients.drain(&mut self.hub);
+                self.phase = Phase::Draining(self.hub.clock().now());
             }
             _ => {}
         }
     }
 
-    /// Only the directory's address may change; with a fault in the file, or another gateway's, all stays as it was.
-    fn read_again(&mut self) {
-        let ours = |config: Config| match PlatformSettings::of(&config) {
+    /// Applies a new directory address. If the file is invalid or belongs to another gateway, nothing
+    /// changes.
+    fn reload_configuration(&mut self) {
+        let check = |config: Config| match PlatformSettings::of(&config) {
             Ok(settings) if settings.is_same_gateway(&self.settings) => Ok(settings.directory),
             Ok(settings) => {
-                Err(format!("it is of another gateway, {} at {}", settings.name, settings.listen))
+                Err(format!("it belongs to another gateway, {} at {}", settings.name, settings.listen))
             }
             Err(error) => Err(error.to_string()),
         };
-        match (self.reload)().and_then(ours) {
+        match (self.reload)().and_then(check) {
             Ok(address) => {
                 let now = self.hub.clock().now();
-                self.directory.move_to(&mut self.hub, now, address);
+                self.directory.set_address(&mut self.hub, now, address);
             }
             Err(error) => tracing::error!(%error, "the configuration stays as it was"),
         }
     }
 
-    fn asked(&mut self, ask: Ask) {
-        match ask {
-            Ask::Request(connection, stream, came, request) => {
-                self.request(connection, stream, came, request);
+    fn handle_event(&mut self, event: ClientEvent) {
+        match event {
+            ClientEvent::Request(connection, stream, received, request) => {
+                self.request(connection, stream, received, request);
             }
-            Ask::TakenBack(connection, stream) => {
+            ClientEvent::Canceled(connection, stream) => {
                 tracing::debug!(connection, stream, "taken back");
-                self.give(Input::Cancel(Client { connection, number: u64::from(stream) }));
+                self.feed_engine(Input::Cancel(Client { connection, number: u64::from(stream) }));
             }
-            Ask::Left(connection) => {
+            ClientEvent::Left(connection) => {
                 tracing::debug!(connection, "left");
-                self.give(Input::Left(connection));
+                self.feed_engine(Input::Disconnected(connection));
             }
         }
     }
 
-    /// A request's time runs since it came.
-    fn request(&mut self, connection: Connection, stream: u32, came: Micros, request: Request) {
-        let waited = self.hub.clock().now().saturating_sub(came);
+    /// Starts a call. Its time limit counts from when the request was received.
+    fn request(&mut self, connection: Connection, stream: u32, received: Micros, request: Request) {
+        let elapsed = self.hub.clock().now().saturating_sub(received);
         let call = Call {
             deferred: false,
             function: request.function,
             class: request.class,
             tenant: request.tenant,
-            // Hosts drop repeats; this gateway keeps nothing, and a call that its client leaves is over.
+            // Hosts deduplicate; this gateway stores no results, and a call ends when its client leaves.
             key: request.once,
-            is_key_for_workers: true,
+            workers_deduplicate: true,
             trace: request.id,
-            time_left: (request.wait_ms * 1_000).saturating_sub(waited).max(1),
+            timeout: (request.wait_ms * 1_000).saturating_sub(elapsed).max(1),
             shape: request.shape,
             body: request.body,
             account: None,
             route: None,
         };
-        self.give(Input::Call(Client { connection, number: u64::from(stream) }, call));
+        self.feed_engine(Input::Call(Client { connection, number: u64::from(stream) }, call));
     }
 
-    /// The list in force is another one.
-    fn take_list(&mut self) {
+    /// Applies a new host list.
+    fn apply_list(&mut self) {
         let hosts = self.directory.list().workers().to_vec();
         tracing::info!(serial = self.directory.list().number, hosts = hosts.len(), "list");
-        let ended = self.hosts.take_list(&mut self.hub, &hosts);
-        self.give(Input::List { whole: true, workers: hosts });
-        ended.into_iter().for_each(|input| self.give(input));
+        let ended = self.hosts.apply_list(&mut self.hub, &hosts);
+        self.feed_engine(Input::List { whole: true, workers: hosts });
+        ended.into_iter().for_each(|input| self.feed_engine(input));
     }
 
-    /// Gives the engine an input, carries out what it answers, and so on until nothing is left.
-    fn give(&mut self, input: Input) {
+    /// Passes an input to the engine and applies its outputs, until no inputs are left.
+    fn feed_engine(&mut self, input: Input) {
         self.inputs.push_back(input);
         while let Some(input) = self.inputs.pop_front() {
             match &input {
@@ -365,40 +374,40 @@
             let mut outputs = std::mem::take(&mut self.outputs);
             self.engine.handle(self.hub.clock().now(), input, &mut outputs);
             for output in outputs.drain(..) {
-                self.carry_out(output);
+                self.apply(output);
             }
             self.outputs = outputs;
         }
     }
 
-    fn carry_out(&mut self, output: Output) {
+    fn apply(&mut self, output: Output) {
         match output {
             Output::Answer(client, answer) => self.answer(client, &answer),
             Output::Run(attempt) => self.run_attempt(attempt),
-            Output::Withdraw(_, attempt) => {
-                if self.departures.drop_parked(attempt) || self.hosts.withdraw(&mut self.hub, attempt) {
+            Output::CancelIfUnsent(_, attempt) => {
+                if self.unsent_items.forget_parked(attempt) || self.hosts.withdraw(&mut self.hub, attempt) {
                     let end = AttemptEnd::TakenBack;
                     self.inputs.push_back(Input::AttemptEnded(attempt, end, Vec::new(), None));
                 }
             }
-            Output::Overdue(_, attempt) | Output::CancelRun(_, attempt) => {
-                if !self.departures.drop_parked(attempt) {
-                    self.hosts.give_up(&mut self.hub, attempt);
+            Output::AttemptTimedOut(_, attempt) | Output::CancelAttempt(_, attempt) => {
+                if !self.unsent_items.forget_parked(attempt) {
+                    self.hosts.cancel(&mut self.hub, attempt);
                 }
             }
-            Output::Hold { worker, order, function, count, .. } => {
-                self.give_order(Order { worker, number: order, function, count });
+            Output::Prewarm { worker, order, function, count, .. } => {
+                self.prewarm(Order { worker, number: order, function, count });
             }
-            Output::Drop(worker, function) => {
+            Output::Unload(worker, function) => {
                 tracing::debug!(%worker, %function, "unload");
                 self.hosts.unload(&mut self.hub, &worker, &function);
             }
             Output::Probe(worker) => _ = self.hosts.probe(&mut self.hub, &worker),
             Output::Log(text) => tracing::info!("{text}"),
-            // The front sees to streams that are used twice; the directory is followed from the start; versions and
-            // deferred calls have no place in this protocol.
-            Output::Close(..) | Output::Follow | Output::Accepted(..) => {}
-            Output::Over { .. } | Output::Ran(..) | Output::Loaded(..) => {}
+            // Reused streams are handled by the client connections, the directory is followed from the start,
+            // and this protocol has no versions or deferred calls.
+            Output::Close(..) | Output::RequestList | Output::Accepted(..) => {}
+            Output::CallCompleted { .. } | Output::VersionReported(..) | Output::PrewarmEnded(..) => {}
         }
     }
 
@@ -410,7 +419,7 @@
             function = %call.function,
             class = %call.class,
             attempt = attempt.number,
-            before = attempt.before,
+            before = attempt.previous_attempts,
             timeout = attempt.timeout,
             "run"
         );
@@ -418,12 +427,12 @@
             Some(ended) => self.inputs.push_back(ended),
             None => {
                 let now = self.hub.clock().now();
-                self.departures.handed(now, attempt.number, Work::Attempt(attempt));
+                self.unsent_items.queued(now, attempt.number, Item::Attempt(attempt));
             }
         }
     }
 
-    fn give_order(&mut self, order: Order) {
+    fn prewarm(&mut self, order: Order) {
         tracing::debug!(
             worker = %order.worker,
             function = %order.function,
@@ -431,11 +440,11 @@
             count = order.count,
             "hold"
         );
-        match self.hosts.hold(&mut self.hub, &order) {
+        match self.hosts.prewarm(&mut self.hub, &order) {
             Some(ended) => self.inputs.push_back(ended),
             None => {
                 let now = self.hub.clock().now();
-                self.departures.handed(now, order.number, Work::Order(order));
+                self.unsent_items.queued(now, order.number, Item::Order(order));
             }
         }
     }
@@ -449,44 +458,44 @@
         let after = (code == Code::Refused && answer.retry_after > 0).then_some(answer.retry_after / 1_000);
         let (connection, stream) = (client.connection, client.number as u32);
         tracing::debug!(connection, stream, status = %answer.status, reason = answer.reason, "answer");
-        self.front.answer(&mut self.hub, connection, stream, code, after, body);
+        self.clients.answer(&mut self.hub, connection, stream, code, after, body);
     }
 
-    fn tell_counts(&self) {
-        let (door, hosts, counters) = (self.front.counts(), self.hosts.counts, self.engine.counters());
-        let turned_away: Vec<_> = self.front.turned_away.iter().collect();
+    fn log_counts(&self) {
+        let (door, hosts, counters) = (self.clients.counts(), self.hosts.counts, self.engine.counters());
+        let rejected: Vec<_> = self.clients.rejected.iter().collect();
         tracing::info!(
             clients = door.connections,
             arrived = door.arrived,
             closed = ?door.closed,
             host_connections = self.hosts.connections(),
-            spoilt = hosts.spoilt,
-            unasked = hosts.unasked,
+            spoilt = hosts.malformed,
+            unasked = hosts.unexpected,
             open = self.engine.open_calls(),
             out = self.engine.open_attempts(),
-            taken = ?counters.taken,
+            taken = ?counters.accepted,
             attempts = ?counters.attempts,
             answers = ?counters.answers,
-            orders = counters.orders,
-            kept_back = ?counters.kept_back,
+            orders = counters.prewarm_orders,
+            kept_back = ?counters.unsent,
             violations = ?counters.violations,
-            closed_owed = self.front.closed_owed,
+            closed_owed = self.clients.closed_unanswered,
             list_age = self.hub.clock().now().saturating_sub(self.directory.age().as_of),
-            turned_away = ?(turned_away, &counters.turned_away),
+            turned_away = ?(rejected, &counters.rejected),
             serial = self.directory.list().number,
             contradictions = ?self.directory.contradictions(),
-            margin = self.lateness.margin(self.settings.engine.answer_margin),
+            margin = self.loop_lag.margin(self.settings.engine.answer_margin),
             "counts"
         );
     }
 }
 
-fn bind(at: SocketAddr) -> anyhow::Result<socket2::Socket> {
+fn bind_listener(at: SocketAddr) -> anyhow::Result<socket2::Socket> {
     let began = std::time::Instant::now();
     loop {
         match listener(at) {
-            Err(error) if error.kind() == io::ErrorKind::AddrInUse && began.elapsed() < BIND_WITHIN => {
-                std::thread::sleep(BIND_AGAIN);
+            Err(error) if error.kind() == io::ErrorKind::AddrInUse && began.elapsed() < BIND_TIMEOUT => {
+                std::thread::sleep(BIND_RETRY_DELAY);
             }
             other => return other.with_context(|| format!("listen on {at}")),
         }
--- a/crates/soak/src/hosts.rs
+++ b/crates/soak/src/hosts.rs
@@ -4,9 +4,9 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use cresswheel_platform_wire::host::{encode_answer, take_command};
-use cresswheel_protocol::{Listed, Micros, Standing};
-use cresswheel_transport::{Connection, Hub, HubLimits, Notice, Wire};
+use cresswheel_platform_wire::host::{decode_command, encode_answer};
+use cresswheel_protocol::{ListedWorker, MemberState, Micros};
+use cresswheel_transport::{Connection, EventLoop, EventLoopLimits, LoopEvent, Wire};
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::Rng;
 
@@ -36,8 +36,8 @@
     number: usize,
     generation: u32,
     port: ReservedPort,
-    listed: Listed,
-    hub: Hub,
+    listed: ListedWorker,
+    hub: EventLoop,
     held: HashMap<Connection, Vec<u8>>,
     answers: Vec<Answer>,
     draw: Pcg32,
@@ -49,7 +49,7 @@
 impl Place {
     /// The first host at a place.
     pub fn new(world: Arc<World>, number: usize) -> anyhow::Result<Self> {
-        let mut hub = Hub::new(HubLimits::default())?;
+        let mut hub = EventLoop::new(EventLoopLimits::default())?;
         hub.set_clock(world.clock);
         let port = ReservedPort::any()?;
         hub.listen(port.address(), Wire::Raw)?;
@@ -85,7 +85,7 @@
             }
             self.answer(now);
             self.hub.wait(Some(now + LOOK))?;
-            while let Some(notice) = self.hub.take_notice() {
+            while let Some(notice) = self.hub.next_event() {
                 self.notice(notice);
             }
         }
@@ -96,7 +96,7 @@
         match fault {
             HostFault::Replace { .. } if self.goes.is_some() => {}
             HostFault::Replace { drains_for, same_address } => {
-                self.listed.standing = Standing::Draining;
+                self.listed.standing = MemberState::Draining;
                 self.world.roster.add(now, self.listed.clone());
                 self.goes = Some((now + drains_for, same_address));
             }
@@ -116,7 +116,7 @@
     /// The host goes, and another comes.
     fn replace(&mut self, now: Micros, same_address: bool) -> anyhow::Result<()> {
         self.goes = None;
-        self.listed.standing = Standing::Out;
+        self.listed.standing = MemberState::Removed;
         self.world.roster.add(now, self.listed.clone());
         self.end_connections();
         self.hub.stop_listening();
@@ -130,24 +130,24 @@
         Ok(())
     }
 
-    fn notice(&mut self, notice: Notice) {
+    fn notice(&mut self, notice: LoopEvent) {
         match notice {
-            Notice::Opened(connection, _) => _ = self.held.insert(connection, Vec::new()),
-            Notice::Closed { connection, .. } => {
+            LoopEvent::Opened(connection, _) => _ = self.held.insert(connection, Vec::new()),
+            LoopEvent::Closed { connection, .. } => {
                 self.held.remove(&connection);
                 self.answers.retain(|answer| answer.connection != connection);
             }
-            Notice::Bytes(connection, bytes) => self.bytes(connection, &bytes),
+            LoopEvent::Bytes(connection, bytes) => self.bytes(connection, &bytes),
             _ => {}
         }
     }
 
     fn bytes(&mut self, connection: Connection, bytes: &[u8]) {
-        let came = self.hub.came();
+        let came = self.hub.arrived_at();
         let Some(mut held) = self.held.remove(&connection) else { return };
         held.extend_from_slice(bytes);
         loop {
-            match take_command(&mut held) {
+            match decode_command(&mut held) {
                 Ok(None) => break,
                 Ok(Some(command)) => self.command(connection, came, &command),
                 Err(error) => {
@@ -166,7 +166,7 @@
             "invoke" => self.invoke(connection, came, id, &fields, command.get(3).map_or(&[], |body| body)),
             "prewarm" => self.prewarm(connection, came, id, &fields),
             "alive" => {
-                let word = if self.listed.standing == Standing::In { "UP" } else { "DOWN" };
+                let word = if self.listed.standing == MemberState::Active { "UP" } else { "DOWN" };
                 self.answer_later(0, connection, id, word, "-", b"");
             }
             "abort" => self.answers.retain(|answer| answer.connection != connection || answer.id != id),
@@ -243,14 +243,14 @@
         .map(|(_, value)| value)
 }
 
-fn listed(place: usize, generation: u32, address: SocketAddr, started: Micros) -> Listed {
-    Listed {
+fn listed(place: usize, generation: u32, address: SocketAddr, started: Micros) -> ListedWorker {
+    ListedWorker {
         id: format!("s-{place:02}-{generation:03}"),
         address: address.to_string(),
         zone: "east".into(),
         kind: "std".into(),
         cell: 1,
-        standing: Standing::In,
+        standing: MemberState::Active,
         started: started / MS * MS,
     }
 }
--- a/crates/versions/src/lib.rs
+++ b/crates/versions/src/lib.rs
@@ -6,11 +6,11 @@
 //!   affinity key. All gateways choose alike without communication, and a greater share only moves callers
 //!   from the old version to the new one.
 //! - [`Record`]: an order and the complete state that results from it, under an epoch. Of two records the one
-//!   with the greater [`Mark`] holds at every gateway, in whatever order they arrive.
+//!   with the greater [`Precedence`] holds at every gateway, in whatever order they arrive.
 //! - [`Versions`]: the state of one gateway. It compares a record with its own, the caller writes it to disk,
 //!   and only then the gateway acts on it.
-//! - [`Judge`]: compares the versions' answers as they arrive, with a bounded rate of false alarms.
-//! - [`Conductor`]: the operator's side, a rollout controller: sums up the gateways' reports, and widens,
+//! - [`RegressionTest`]: compares the versions' answers as they arrive, with a bounded rate of false alarms.
+//! - [`RolloutController`]: the operator's side, a rollout controller: sums up the gateways' reports, and widens,
 //!   promotes or rolls back.
 //!
 //! `docs/VERSIONS.md` discusses the alternatives.
@@ -27,11 +27,11 @@
 /// Durations and points in time in microseconds.
 pub type Micros = u64;
 
-pub use choice::{Callers, Share, Stick, point};
+pub use choice::{Affinity, CallerIdentity, Share, point};
 pub use compare::{Compare, DifferenceTest};
-pub use conductor::{Act, Conductor, GatewayReport};
-pub use evidence::{ALTERNATIVE_ODDS, Judge, OddsTest, Regression, promised_calls};
+pub use conductor::{Action, GatewayReport, RolloutController};
+pub use evidence::{ALTERNATIVE_ODDS, OddsTest, Regression, RegressionTest, expected_calls_to_detection};
 pub use plan::{Guard, MAX_STEPS, Plan, Side, Step};
-pub use record::{Kind, Mark, Record, Stage};
-pub use rollout::{Expected, Hold, LOOK_EVERY, VersionChoice, Versions, Weight};
-pub use wire::{End, Question, Reply, Status, Tally};
+pub use record::{OrderKind, Precedence, Record, Stage};
+pub use rollout::{JUDGE_INTERVAL, PrewarmTarget, RecordOrder, ShareOverride, VersionChoice, Versions};
+pub use wire::{End, Status, Tally, VersionReply, VersionRequest};
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -5,13 +5,13 @@
 //! the [`Action`]s that it returns. The crate has no clock, thread, socket or global state of its own.
 //!
 //! ```
-//! use cresswheel::{Action, Class, Dispatcher, Effect, Event, ListNews, Request, Settings};
-//! use cresswheel::{WorkerEntry, WorkerState};
+//! use cresswheel::{Action, Class, Dispatcher, Effect, Event, Request, Settings};
+//! use cresswheel::{WorkerEntry, WorkerListUpdate, WorkerState};
 //!
 //! let class = Class {
 //!     name: "check".into(),
-//!     aim: 600_000,
-//!     give_up: 5_000_000,
+//!     latency_objective: 600_000,
+//!     client_timeout: 5_000_000,
 //!     effect: Effect::Safe,
 //!     streamed: false,
 //!     worth: 1.0,
@@ -25,10 +25,10 @@
 //!     zone: "a".into(),
 //!     kind: "std".into(),
 //!     cell: 0,
-//!     state: WorkerState::In,
+//!     state: WorkerState::InService,
 //!     started: None,
 //! };
-//! gateway.handle(0, Event::List(ListNews::Whole(vec![worker])), &mut actions);
+//! gateway.handle(0, Event::List(WorkerListUpdate::Complete(vec![worker])), &mut actions);
 //! let request = Request {
 //!     id: "r1".into(),
 //!     class: 0,
@@ -36,7 +36,7 @@
 //!     function: "model-a".into(),
 //!     time_left: 5_000_000,
 //!     memory_mb: None,
-//!     lanes: Some(4),
+//!     concurrency: Some(4),
 //!     load_time: None,
 //! };
 //! gateway.handle(1_000, Event::Arrived(request), &mut actions);
@@ -58,6 +58,6 @@
 mod wanted;
 
 pub use interface::*;
-pub use pairs::{PairError, Pairs};
+pub use pairs::{SettingPairError, SettingPairs};
 pub use rules::Dispatcher;
-pub use tally::Tally;
+pub use tally::DispatcherStats;
--- a/src/state.rs
+++ b/src/state.rs
@@ -82,7 +82,7 @@
     pub functions: BTreeSet<FunctionIndex>,
 }
 
-/// Limits what is sent to a cold worker, in half windows of [`ColdStart::window`].
+/// Limits what is sent to a cold worker, in half windows of [`ColdStart::overload_window`].
 #[derive(Debug, Default)]
 pub struct SlowStart {
     /// When the start of the process became known here.
@@ -281,7 +281,7 @@
 impl Worker {
     /// Until when it accepts no prewarm order.
     pub fn no_prewarm_until(&self) -> Micros {
-        if self.list_entry.state == WorkerState::In { self.full_until } else { Micros::MAX }
+        if self.list_entry.state == WorkerState::InService { self.full_until } else { Micros::MAX }
     }
 }
 
